--- a/bench/bench-dist.c
+++ b/bench/bench-dist.c
@@ -307,7 +307,7 @@
   fd_hooks_t hooks
       = { count_message, drop_read, drop_snapshot, drop_ready, drop_refusal, &bytes };
   fw_member_t *members = g_new0 (fw_member_t, FLEET);
-  fw_control_t ask = { .kind = FW_MEMBERS_ASK };
+  fw_control_t ask = { .kind = FW_MEMBERS_REQUEST };
   fm_table_t *table;
   fd_node_t *node;
   double start;
@@ -343,8 +343,8 @@
   start = read_cpu_ms ();
   for (int i = 0; i < ROUNDS; i++)
     fd_handle_message (node, &ask);
-  printf ("page of %d members: %zu bytes, %.2f ms CPU\n", FW_PAGE_MAX, bytes / ROUNDS,
-          (read_cpu_ms () - start) / ROUNDS);
+  printf ("page of %d members: %zu bytes, %.2f ms CPU\n", FW_MEMBERS_PER_PAGE_MAX,
+          bytes / ROUNDS, (read_cpu_ms () - start) / ROUNDS);
   fd_destroy_node (node);
   fm_destroy_table (table);
   fb_destroy_counters (counters);
--- a/fuzz/fuzz-call.c
+++ b/fuzz/fuzz-call.c
@@ -21,8 +21,8 @@
   FUZZ_CHECK (a->outcome == b->outcome);
   FUZZ_CHECK (a->status == b->status);
   FUZZ_CHECK (fb_equal_str (a->reason, b->reason));
-  FUZZ_CHECK (a->repeat == b->repeat);
-  FUZZ_CHECK (a->arrived == b->arrived);
+  FUZZ_CHECK (a->earlier_attempt_arrived == b->earlier_attempt_arrived);
+  FUZZ_CHECK (a->reached_backend == b->reached_backend);
   FUZZ_CHECK (a->load == b->load);
   FUZZ_CHECK (a->service_us == b->service_us);
   FUZZ_CHECK (a->header_count == b->header_count);
--- a/fuzz/fuzz-control.c
+++ b/fuzz/fuzz-control.c
@@ -8,11 +8,11 @@
 check_same (const fw_control_t *a, const fw_control_t *b)
 {
   FUZZ_CHECK (a->kind == b->kind);
-  FUZZ_CHECK (a->request == b->request);
+  FUZZ_CHECK (a->request_id == b->request_id);
   FUZZ_CHECK (fb_equal_name (&a->sender, &b->sender));
   fuzz_check_same_version (&a->version, &b->version);
   FUZZ_CHECK (a->ready == b->ready);
-  FUZZ_CHECK (fb_compare_digests (&a->base, &b->base) == 0);
+  FUZZ_CHECK (fb_compare_digests (&a->base_digest, &b->base_digest) == 0);
   FUZZ_CHECK (a->page == b->page);
   FUZZ_CHECK (a->page_count == b->page_count);
   FUZZ_CHECK (a->payload.len == b->payload.len);
@@ -35,7 +35,7 @@
 
   if (fw_decode_control ((fb_bytes_t){ data, size }, &first) != FB_OK)
     return 0;
-  FUZZ_CHECK (first.member_count <= FW_PAGE_MAX);
+  FUZZ_CHECK (first.member_count <= FW_MEMBERS_PER_PAGE_MAX);
   FUZZ_CHECK (first.payload.len <= size);
   encoded = fw_encode_control (&first, &encoded_len);
   FUZZ_CHECK (fw_decode_control ((fb_bytes_t){ encoded, encoded_len }, &second) == FB_OK);
--- a/fuzz/fuzz-news.c
+++ b/fuzz/fuzz-news.c
@@ -1,23 +1,23 @@
 /* Fuzz target: decoding of news between nodes, and the round trip of what decodes. */
 #include "fuzz-wire.h"
-#include <foxtailrun/wire/news.h>
+#include <foxtailrun/wire/feed.h>
 #include <glib.h>
 #include <string.h>
 
 static void
-check_same (const fw_news_t *a, const fw_news_t *b)
+check_same (const fw_feed_message_t *a, const fw_feed_message_t *b)
 {
   FUZZ_CHECK (a->kind == b->kind);
-  FUZZ_CHECK (a->feed == b->feed);
+  FUZZ_CHECK (a->feed_id == b->feed_id);
   FUZZ_CHECK (a->sequence == b->sequence);
   FUZZ_CHECK (a->position == b->position);
-  FUZZ_CHECK (a->document == b->document);
+  FUZZ_CHECK (a->document_position == b->document_position);
   FUZZ_CHECK (fb_compare_digests (&a->digest, &b->digest) == 0);
   FUZZ_CHECK (a->delta.len == b->delta.len);
   FUZZ_CHECK (a->delta.len == 0 || memcmp (a->delta.data, b->delta.data, a->delta.len) == 0);
   FUZZ_CHECK (a->age_us == b->age_us);
-  FUZZ_CHECK (a->held_us == b->held_us);
-  FUZZ_CHECK (a->whole == b->whole);
+  FUZZ_CHECK (a->request_wait_us == b->request_wait_us);
+  FUZZ_CHECK (a->complete == b->complete);
   FUZZ_CHECK (a->endpoint_count == b->endpoint_count);
   for (size_t i = 0; i < a->endpoint_count; i++)
     {
@@ -29,25 +29,25 @@
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
-  fw_news_t first;
-  fw_news_t second;
+  fw_feed_message_t first;
+  fw_feed_message_t second;
   uint8_t *encoded;
   uint8_t *again;
   size_t encoded_len;
   size_t again_len;
 
-  if (fw_decode_news ((fb_bytes_t){ data, size }, &first) != FB_OK)
+  if (fw_decode_feed ((fb_bytes_t){ data, size }, &first) != FB_OK)
     return 0;
   FUZZ_CHECK (first.endpoint_count <= FW_ENDPOINTS_MAX);
   FUZZ_CHECK (first.delta.len <= FW_DELTA_MAX);
-  encoded = fw_encode_news (&first, &encoded_len);
-  FUZZ_CHECK (fw_decode_news ((fb_bytes_t){ encoded, encoded_len }, &second) == FB_OK);
+  encoded = fw_encode_feed (&first, &encoded_len);
+  FUZZ_CHECK (fw_decode_feed ((fb_bytes_t){ encoded, encoded_len }, &second) == FB_OK);
   check_same (&first, &second);
-  again = fw_encode_news (&second, &again_len);
+  again = fw_encode_feed (&second, &again_len);
   FUZZ_CHECK (again_len == encoded_len && memcmp (again, encoded, again_len) == 0);
   g_free (again);
   g_free (encoded);
-  fw_clear_news (&second);
-  fw_clear_news (&first);
+  fw_clear_feed (&second);
+  fw_clear_feed (&first);
   return 0;
 }
--- a/packages/dist/include/foxtailrun/dist/feed.h
+++ b/packages/dist/include/foxtailrun/dist/feed.h
@@ -7,7 +7,7 @@
 #include <foxtailrun/base/counter.h>
 #include <foxtailrun/base/log.h>
 #include <foxtailrun/member/listing.h>
-#include <foxtailrun/wire/news.h>
+#include <foxtailrun/wire/feed.h>
 
 /* What is read of the store. */
 typedef enum
@@ -51,9 +51,9 @@
   void (*read) (const fd_read_t *read, void *user);
   /* Sends ASK, borrowed, to PEER; ends by fd_handle_news or fd_fail_ask. At most one ask is
    * open. */
-  void (*ask) (const fw_member_t *peer, const fw_news_t *ask, void *user);
+  void (*ask) (const fw_member_t *peer, const fw_feed_message_t *ask, void *user);
   /* Answers ASKER of fd_handle_ask. */
-  void (*answer) (void *asker, const fw_news_t *news, void *user);
+  void (*answer) (void *asker, const fw_feed_message_t *news, void *user);
   /* An endpoint was listed, changed, or is gone (FW_DEAD). */
   fm_listed_fn_t changed;
   /* A newer configuration is there, see fd_get_document. */
@@ -94,13 +94,13 @@
 void fd_end_read (fd_feed_t *feed, const fd_end_t *end);
 
 /* Takes ASK of another node; ASKER is answered now or later, unless fd_drop_ask comes first. */
-void fd_handle_ask (fd_feed_t *feed, void *asker, const fw_news_t *ask);
+void fd_handle_ask (fd_feed_t *feed, void *asker, const fw_feed_message_t *ask);
 
 /* ASKER no longer waits. */
 void fd_drop_ask (fd_feed_t *feed, void *asker);
 
 /* Takes the answer to the open ask. */
-void fd_handle_news (fd_feed_t *feed, const fw_news_t *news);
+void fd_handle_news (fd_feed_t *feed, const fw_feed_message_t *news);
 
 /* The open ask ended without an answer, for REASON. */
 void fd_fail_ask (fd_feed_t *feed, const char *reason);
--- a/packages/dist/source/dist-fetch.c
+++ b/packages/dist/source/dist-fetch.c
@@ -85,9 +85,9 @@
   announcer->asked_at = now;
   message = fd_make_message (node, FW_FETCH, fd_next_request (node));
   if (!node->fetch.whole)
-    message.base = node->version.digest;
+    message.base_digest = node->version.digest;
   node->fetch.outstanding = true;
-  node->fetch.request = message.request;
+  node->fetch.request = message.request_id;
   node->fetch.peer = announcer->id;
   node->fetch.deadline = now + FD_FETCH_TIMEOUT;
   fb_add_counter (node->counters.fetches, 1);
@@ -132,13 +132,14 @@
   size_t length = 0;
   fd_verdict_t verdict;
 
-  if (!fd_is_zero_digest (&message->base) && !fd_find_document (node, &message->base, &base))
+  if (!fd_is_zero_digest (&message->base_digest)
+      && !fd_find_document (node, &message->base_digest, &base))
     return FD_CORRUPT;
   if (fc_decode_delta (base, message->payload, &document, &length) != FB_OK)
     return FD_CORRUPT;
   verdict = fd_judge_document (node, &message->version, (fb_bytes_t){ document, length });
   if (verdict == FD_APPLIED)
-    fd_cache_encoding (node, &message->base,
+    fd_cache_encoding (node, &message->base_digest,
                        g_memdup2 (message->payload.data, message->payload.len),
                        message->payload.len);
   g_free (document);
@@ -150,7 +151,7 @@
 void
 fd_handle_document (fd_node_t *node, const fw_control_t *message)
 {
-  if (node->fetch.outstanding && message->request == node->fetch.request
+  if (node->fetch.outstanding && message->request_id == node->fetch.request
       && fb_equal_name (&message->sender, &node->fetch.peer))
     node->fetch.outstanding = false;
   if (message->payload.len > 0 && message->version.number > 0
--- a/packages/dist/source/dist-join.c
+++ b/packages/dist/source/dist-join.c
@@ -50,10 +50,10 @@
 static void
 ask_summary (fd_node_t *node, const fw_member_t *member)
 {
-  fw_control_t message = fd_make_message (node, FW_SUMMARY_ASK, fd_next_request (node));
+  fw_control_t message = fd_make_message (node, FW_SUMMARY_REQUEST, fd_next_request (node));
   fd_join_peer_t *peer = &node->join.peers[node->join.peer_count++];
 
-  *peer = (fd_join_peer_t){ .id = member->id, .request = message.request };
+  *peer = (fd_join_peer_t){ .id = member->id, .request = message.request_id };
   node->hooks.send (member, &message, node->hooks.user);
 }
 
@@ -97,7 +97,7 @@
 ask_page (fd_node_t *node, fd_walk_t *walk)
 {
   const fw_member_t *member = fm_find_member (node->members, &walk->id);
-  fw_control_t message = fd_make_message (node, FW_MEMBERS_ASK, fd_next_request (node));
+  fw_control_t message = fd_make_message (node, FW_MEMBERS_REQUEST, fd_next_request (node));
 
   if (member == NULL)
     {
@@ -105,7 +105,7 @@
       return;
     }
   message.page = walk->page;
-  walk->request = message.request;
+  walk->request = message.request_id;
   walk->deadline = fb_read_clock (node->clock) + FD_JOIN_ROUND;
   node->hooks.send (member, &message, node->hooks.user);
 }
@@ -185,7 +185,7 @@
     {
       fd_join_peer_t *peer = &node->join.peers[i];
 
-      if (peer->request != message->request || !fb_equal_name (&peer->id, &message->sender))
+      if (peer->request != message->request_id || !fb_equal_name (&peer->id, &message->sender))
         continue;
       peer->answered = true;
       peer->ready = message->ready;
@@ -218,7 +218,7 @@
     {
       fd_walk_t *walk = &node->join.walks[i];
 
-      if (!walk->active || walk->request != message->request
+      if (!walk->active || walk->request != message->request_id
           || !fb_equal_name (&walk->id, &message->sender))
         continue;
       fm_merge_members (node->members, message->members, message->member_count);
--- a/packages/dist/source/dist-node.c
+++ b/packages/dist/source/dist-node.c
@@ -19,7 +19,7 @@
 fw_control_t
 fd_make_message (const fd_node_t *node, fw_control_kind_t kind, uint64_t request)
 {
-  fw_control_t message = { .kind = kind, .request = request, .version = node->version };
+  fw_control_t message = { .kind = kind, .request_id = request, .version = node->version };
 
   message.sender = fm_get_self (node->members)->id;
   return message;
@@ -145,7 +145,7 @@
     }
   switch (message->kind)
     {
-    case FW_SUMMARY_ASK:
+    case FW_SUMMARY_REQUEST:
       fd_answer_summary (node, sender, message);
       break;
     case FW_SUMMARY:
@@ -158,7 +158,7 @@
     case FW_DOCUMENT:
       fd_handle_document (node, message);
       break;
-    case FW_MEMBERS_ASK:
+    case FW_MEMBERS_REQUEST:
       fd_answer_members (node, sender, message);
       break;
     case FW_MEMBERS:
--- a/packages/dist/source/dist-serve.c
+++ b/packages/dist/source/dist-serve.c
@@ -68,7 +68,7 @@
 void
 fd_answer_summary (fd_node_t *node, const fw_member_t *to, const fw_control_t *message)
 {
-  fw_control_t answer = fd_make_message (node, FW_SUMMARY, message->request);
+  fw_control_t answer = fd_make_message (node, FW_SUMMARY, message->request_id);
 
   if (!take_answer (node, &node->answers))
     return;
@@ -101,7 +101,7 @@
     }
   else
     fb_add_counter (node->counters.served_delta, 1);
-  answer->base = base;
+  answer->base_digest = base;
   answer->payload = (fb_bytes_t){ encoding->frame, encoding->length };
 }
 
@@ -109,11 +109,11 @@
 void
 fd_answer_fetch (fd_node_t *node, const fw_member_t *to, const fw_control_t *message)
 {
-  fw_control_t answer = fd_make_message (node, FW_DOCUMENT, message->request);
+  fw_control_t answer = fd_make_message (node, FW_DOCUMENT, message->request_id);
 
   if (!take_answer (node, &node->answers))
     return;
-  fill_document (node, &message->base, &answer);
+  fill_document (node, &message->base_digest, &answer);
   node->hooks.send (to, &answer, node->hooks.user);
 }
 
@@ -122,7 +122,7 @@
   size_t index;
   size_t first;
   size_t count;
-  fw_member_t members[FW_PAGE_MAX];
+  fw_member_t members[FW_MEMBERS_PER_PAGE_MAX];
 } page_t;
 
 static bool
@@ -130,7 +130,7 @@
 {
   page_t *page = user;
 
-  if (page->index >= page->first && page->count < FW_PAGE_MAX)
+  if (page->index >= page->first && page->count < FW_MEMBERS_PER_PAGE_MAX)
     page->members[page->count++] = *member;
   page->index++;
   return true;
@@ -139,16 +139,17 @@
 void
 fd_answer_members (fd_node_t *node, const fw_member_t *to, const fw_control_t *message)
 {
-  fw_control_t answer = fd_make_message (node, FW_MEMBERS, message->request);
+  fw_control_t answer = fd_make_message (node, FW_MEMBERS, message->request_id);
   page_t *page;
 
   if (!take_answer (node, &node->pages))
     return;
   page = g_new0 (page_t, 1);
-  page->first = (size_t)message->page * FW_PAGE_MAX;
+  page->first = (size_t)message->page * FW_MEMBERS_PER_PAGE_MAX;
   fm_visit_members (node->members, add_to_page, page);
   answer.page = message->page;
-  answer.page_count = (uint32_t)((page->index + FW_PAGE_MAX - 1) / FW_PAGE_MAX);
+  answer.page_count
+      = (uint32_t)((page->index + FW_MEMBERS_PER_PAGE_MAX - 1) / FW_MEMBERS_PER_PAGE_MAX);
   answer.members = page->members;
   answer.member_count = page->count;
   node->hooks.send (to, &answer, node->hooks.user);
--- a/packages/dist/source/feed-relay.c
+++ b/packages/dist/source/feed-relay.c
@@ -143,11 +143,12 @@
 static void
 send_ask (fd_feed_t *feed, const fw_member_t *peer, fb_time_t now)
 {
-  fw_news_t ask = { .kind = FW_NEWS_ASK,
-                    .feed = feed->relay_id,
-                    .sequence = feed->relay_sequence,
-                    .position = feed->position,
-                    .document = MAX (feed->documents[0].position, feed->wanted) };
+  fw_feed_message_t ask
+      = { .kind = FW_FEED_REQUEST,
+          .feed_id = feed->relay_id,
+          .sequence = feed->relay_sequence,
+          .position = feed->position,
+          .document_position = MAX (feed->documents[0].position, feed->wanted) };
 
   feed->asking = true;
   feed->asked = now;
@@ -202,9 +203,9 @@
 }
 
 static void
-take_endpoints (fd_feed_t *feed, const fw_news_t *news)
+take_endpoints (fd_feed_t *feed, const fw_feed_message_t *news)
 {
-  if (news->whole)
+  if (news->complete)
     fm_begin_list (feed->listing);
   for (size_t i = 0; i < news->endpoint_count; i++)
     {
@@ -215,22 +216,22 @@
       else
         fm_list_endpoint (feed->listing, endpoint);
     }
-  if (news->whole)
+  if (news->complete)
     fm_end_list (feed->listing);
 }
 
 /* Takes over the configuration that NEWS tells of, or lets it be read of the store. */
 static void
-take_document (fd_feed_t *feed, const fw_news_t *news)
+take_document (fd_feed_t *feed, const fw_feed_message_t *news)
 {
-  if (news->document > feed->documents[0].position)
+  if (news->document_position > feed->documents[0].position)
     {
       if (news->delta.len > 0
-          && fd_apply_delta (feed, news->document, &news->digest, news->delta))
+          && fd_apply_delta (feed, news->document_position, &news->digest, news->delta))
         fb_add_counter (feed->deltas, 1);
       else
         {
-          feed->wanted = MAX (feed->wanted, news->document);
+          feed->wanted = MAX (feed->wanted, news->document_position);
           if (!feed->reading)
             {
               feed->kind = FD_READ_DOCUMENT;
@@ -245,15 +246,15 @@
 /* Returns when what NEWS tells was known to be whole, in this node's time: what the ask did not
  * spend at the sender it may have spent on the way back. */
 static fb_time_t
-get_fresh_time (const fd_feed_t *feed, const fw_news_t *news, fb_time_t now)
+get_fresh_time (const fd_feed_t *feed, const fw_feed_message_t *news, fb_time_t now)
 {
-  fb_time_t way = now - feed->asked - (fb_time_t)news->held_us * FB_MICROSECOND;
+  fb_time_t way = now - feed->asked - (fb_time_t)news->request_wait_us * FB_MICROSECOND;
 
   return now - (fb_time_t)news->age_us * FB_MICROSECOND - MAX (way, 0);
 }
 
 static void
-take_news (fd_feed_t *feed, const fw_news_t *news, fb_time_t now)
+take_news (fd_feed_t *feed, const fw_feed_message_t *news, fb_time_t now)
 {
   fm_regain_source (feed->listing);
   feed->failures = 0;
@@ -261,7 +262,7 @@
     feed->kind = FD_READ_CHANGES;
   take_endpoints (feed, news);
   feed->position = news->position;
-  feed->relay_id = news->feed;
+  feed->relay_id = news->feed_id;
   feed->relay_sequence = news->sequence;
   feed->news_fresh = get_fresh_time (feed, news, now);
   feed->fresh = MAX (feed->fresh, feed->news_fresh);
@@ -271,12 +272,12 @@
 }
 
 void
-fd_handle_news (fd_feed_t *feed, const fw_news_t *news)
+fd_handle_news (fd_feed_t *feed, const fw_feed_message_t *news)
 {
   fb_time_t now = read_time (feed);
 
   feed->asking = false;
-  if (news->kind != FW_NEWS)
+  if (news->kind != FW_FEED_UPDATE)
     {
       leave_relay (feed, "it does not read the store");
       return;
@@ -312,24 +313,25 @@
 give_news (fd_feed_t *feed, const fd_asked_t *asked, fb_time_t now)
 {
   GArray *endpoints = g_array_new (FALSE, FALSE, sizeof (fw_endpoint_t));
-  fw_news_t news = { .kind = FW_NEWS,
-                     .feed = feed->id,
-                     .sequence = fm_get_sequence (feed->listing),
-                     .position = feed->position,
-                     .document = feed->documents[0].position,
-                     .digest = feed->documents[0].digest,
-                     .age_us = (uint64_t)((now - feed->fresh) / FB_MICROSECOND),
-                     .held_us = (uint64_t)((now - asked->arrived) / FB_MICROSECOND) };
-
-  news.whole
-      = asked->ask.feed != feed->id
+  fw_feed_message_t news
+      = { .kind = FW_FEED_UPDATE,
+          .feed_id = feed->id,
+          .sequence = fm_get_sequence (feed->listing),
+          .position = feed->position,
+          .document_position = feed->documents[0].position,
+          .digest = feed->documents[0].digest,
+          .age_us = (uint64_t)((now - feed->fresh) / FB_MICROSECOND),
+          .request_wait_us = (uint64_t)((now - asked->arrived) / FB_MICROSECOND) };
+
+  news.complete
+      = asked->ask.feed_id != feed->id
         || !fm_visit_changes (feed->listing, asked->ask.sequence, add_endpoint, endpoints);
-  if (news.whole)
+  if (news.complete)
     fm_visit_changes (feed->listing, 0, add_endpoint, endpoints);
   news.endpoint_count = MIN (endpoints->len, FW_ENDPOINTS_MAX);
   news.endpoints = (fw_endpoint_t *)(void *)endpoints->data;
-  if (asked->ask.document < news.document)
-    news.delta = fd_find_delta (feed, asked->ask.document);
+  if (asked->ask.document_position < news.document_position)
+    news.delta = fd_find_delta (feed, asked->ask.document_position);
   fb_add_counter (feed->news_given, 1);
   feed->hooks.answer (asked->asker, &news, feed->hooks.user);
   g_array_free (endpoints, TRUE);
@@ -340,12 +342,13 @@
 static bool
 is_answerable (const fd_feed_t *feed, const fd_asked_t *asked, fb_time_t now)
 {
-  const fw_news_t *ask = &asked->ask;
+  const fw_feed_message_t *ask = &asked->ask;
 
   if (feed->position < ask->position || now >= feed->fresh + feed->rules.pace)
     return false;
-  return ask->feed != feed->id || ask->sequence != fm_get_sequence (feed->listing)
-         || ask->document < feed->documents[0].position || feed->completed > asked->arrived;
+  return ask->feed_id != feed->id || ask->sequence != fm_get_sequence (feed->listing)
+         || ask->document_position < feed->documents[0].position
+         || feed->completed > asked->arrived;
 }
 
 void
@@ -353,7 +356,7 @@
 {
   fb_time_t now = read_time (feed);
   bool good = can_vouch (feed, now);
-  fw_news_t none = { .kind = FW_NEWS_NONE };
+  fw_feed_message_t none = { .kind = FW_FEED_UNAVAILABLE };
 
   for (guint i = feed->asks->len; i > 0; i--)
     {
@@ -370,7 +373,7 @@
 }
 
 void
-fd_handle_ask (fd_feed_t *feed, void *asker, const fw_news_t *ask)
+fd_handle_ask (fd_feed_t *feed, void *asker, const fw_feed_message_t *ask)
 {
   fd_asked_t *asked = g_new0 (fd_asked_t, 1);
   fb_time_t now = read_time (feed);
--- a/packages/dist/source/feed-state.h
+++ b/packages/dist/source/feed-state.h
@@ -34,7 +34,7 @@
 typedef struct
 {
   void *asker;
-  fw_news_t ask;
+  fw_feed_message_t ask;
   fb_time_t arrived;
 } fd_asked_t;
 
--- a/packages/dist/tests/fixture-bed.c
+++ b/packages/dist/tests/fixture-bed.c
@@ -15,10 +15,11 @@
   g_assert_cmpuint (slot, <, SENT_MAX);
   bed->sent[slot].kind = message->kind;
   bed->sent[slot].to = to->id;
-  bed->sent[slot].request = message->request;
+  bed->sent[slot].request = message->request_id;
   bed->sent[slot].ready = message->ready;
   bed->sent[slot].length = message->payload.len;
-  bed->sent[slot].based = message->base.bytes[0] != 0 || message->base.bytes[1] != 0;
+  bed->sent[slot].based
+      = message->base_digest.bytes[0] != 0 || message->base_digest.bytes[1] != 0;
 }
 
 static void
@@ -174,16 +175,16 @@
   for (size_t i = 0; i < count; i++)
     {
       fw_control_t message = { .kind = FW_SUMMARY,
-                               .request = bed->sent[i].request,
+                               .request_id = bed->sent[i].request,
                                .sender = bed->sent[i].to,
                                .version = *version,
                                .ready = ready };
 
-      if (bed->sent[i].kind == FW_SUMMARY_ASK)
+      if (bed->sent[i].kind == FW_SUMMARY_REQUEST)
         fd_handle_message (bed->node, &message);
       message.kind = FW_MEMBERS;
       message.page_count = 1;
-      if (lists && bed->sent[i].kind == FW_MEMBERS_ASK)
+      if (lists && bed->sent[i].kind == FW_MEMBERS_REQUEST)
         fd_handle_message (bed->node, &message);
     }
 }
--- a/packages/dist/tests/fixture-feed.c
+++ b/packages/dist/tests/fixture-feed.c
@@ -106,14 +106,14 @@
 }
 
 static void
-set_answer (node_t *node, const fw_news_t *news)
+set_answer (node_t *node, const fw_feed_message_t *news)
 {
-  node->answer = fw_encode_news (news, &node->answer_len);
+  node->answer = fw_encode_feed (news, &node->answer_len);
   node->answer_at = fb_read_clock (node->fleet->clock) + MESSAGE_TIME;
 }
 
 static void
-send_ask (const fw_member_t *peer, const fw_news_t *ask, void *user)
+send_ask (const fw_member_t *peer, const fw_feed_message_t *ask, void *user)
 {
   node_t *node = user;
   node_t *relay = find_peer (node->fleet, &peer->address);
@@ -133,7 +133,7 @@
 }
 
 static void
-take_answer (void *asker, const fw_news_t *news, void *user)
+take_answer (void *asker, const fw_feed_message_t *news, void *user)
 {
   node_t *node = asker;
   const node_t *relay = user;
@@ -216,17 +216,17 @@
 static void
 end_ask (node_t *node)
 {
-  fw_news_t news;
+  fw_feed_message_t news;
   uint8_t *answer = node->answer;
 
   node->asking = false;
   node->answer = NULL;
   if (answer)
     {
-      g_assert_cmpint (fw_decode_news ((fb_bytes_t){ answer, node->answer_len }, &news), ==,
+      g_assert_cmpint (fw_decode_feed ((fb_bytes_t){ answer, node->answer_len }, &news), ==,
                        FB_OK);
       fd_handle_news (node->feed, &news);
-      fw_clear_news (&news);
+      fw_clear_feed (&news);
       g_free (answer);
     }
   else
--- a/packages/dist/tests/test-feed.c
+++ b/packages/dist/tests/test-feed.c
@@ -127,12 +127,12 @@
 }
 
 static void
-skip_ask (const fw_member_t *peer, const fw_news_t *ask, void *user)
+skip_ask (const fw_member_t *peer, const fw_feed_message_t *ask, void *user)
 {
 }
 
 static void
-skip_answer (void *asker, const fw_news_t *news, void *user)
+skip_answer (void *asker, const fw_feed_message_t *news, void *user)
 {
 }
 
@@ -175,12 +175,14 @@
       fd_feed_t *feed = fd_create_feed (&rules, 1, clock, counters, NULL, &hooks);
       fw_endpoint_t there = { { .id = fb_make_name ("i"), .state = FW_ALIVE }, 9 };
       fw_endpoint_t gone = { { .id = fb_make_name ("i"), .state = FW_DEAD }, 9 };
-      fw_news_t news = {
-        .kind = FW_NEWS, .position = cases[i].news, .endpoint_count = 1, .endpoints = &gone
-      };
-      fw_news_t late = {
-        .kind = FW_NEWS, .position = cases[i].late, .endpoint_count = 1, .endpoints = &there
-      };
+      fw_feed_message_t news = { .kind = FW_FEED_UPDATE,
+                                 .position = cases[i].news,
+                                 .endpoint_count = 1,
+                                 .endpoints = &gone };
+      fw_feed_message_t late = { .kind = FW_FEED_UPDATE,
+                                 .position = cases[i].late,
+                                 .endpoint_count = 1,
+                                 .endpoints = &there };
 
       fd_run_feed (feed);
       fd_take_endpoint (feed, 5, &there);
--- a/packages/dist/tests/test-join.c
+++ b/packages/dist/tests/test-join.c
@@ -94,12 +94,12 @@
   for (size_t i = 0; i < bed->sent_count; i++)
     {
       const fw_member_t *to = fm_find_member (bed->table, &bed->sent[i].to);
-      if (bed->sent[i].kind == FW_SUMMARY_ASK)
+      if (bed->sent[i].kind == FW_SUMMARY_REQUEST)
         zones[to->zone.data[5] - '0']++;
     }
   g_assert_cmpuint (zones[0] + zones[1], ==, 6);
   g_assert_true (zones[0] > 0 && zones[1] > 0);
-  g_assert_cmpuint (count_sent (bed, FW_MEMBERS_ASK), ==, 2);
+  g_assert_cmpuint (count_sent (bed, FW_MEMBERS_REQUEST), ==, 2);
   close_bed (bed);
 }
 
@@ -110,7 +110,7 @@
 {
   bed_t *bed = open_bed (2);
   GBytes *document = sf_make_document (5, 1, 1);
-  fw_control_t ask = { .kind = FW_SUMMARY_ASK, .sender = bed->others[0].id };
+  fw_control_t ask = { .kind = FW_SUMMARY_REQUEST, .sender = bed->others[0].id };
 
   pass_time (bed, 2 * FB_SECOND);
   give_source_value (bed, 3, document);
@@ -143,7 +143,7 @@
   bed_t *bed = open_bed (1);
   GBytes *document = sf_make_document (5, 1, 50);
   fb_version_t version = describe_version (document, 5, 3);
-  fw_control_t ask = { .kind = FW_SUMMARY_ASK, .sender = bed->others[0].id };
+  fw_control_t ask = { .kind = FW_SUMMARY_REQUEST, .sender = bed->others[0].id };
   size_t with_document = 0;
 
   fd_tick (bed->node);
@@ -160,14 +160,14 @@
   g_assert_cmpuint (with_document, ==, 4);
   for (int i = 0; i < 3000; i++)
     {
-      ask.kind = i % 3 == 0 ? FW_SUMMARY_ASK : i % 3 == 1 ? FW_FETCH : FW_MEMBERS_ASK;
+      ask.kind = i % 3 == 0 ? FW_SUMMARY_REQUEST : i % 3 == 1 ? FW_FETCH : FW_MEMBERS_REQUEST;
       fd_handle_message (bed->node, &ask);
     }
   g_assert_cmpuint (bed->sent_count, <=, 240);
   g_assert_cmpuint (count_sent (bed, FW_MEMBERS), ==, 40);
   pass_time (bed, FB_SECOND);
   bed->sent_count = 0;
-  ask.kind = FW_SUMMARY_ASK;
+  ask.kind = FW_SUMMARY_REQUEST;
   fd_handle_message (bed->node, &ask);
   g_assert_cmpuint (bed->sent_count, ==, 1);
   g_bytes_unref (document);
--- a/packages/dist/tests/test-judge.c
+++ b/packages/dist/tests/test-judge.c
@@ -188,13 +188,13 @@
 
   fd_tick (bed->node);
   give_document (bed, 0, held, &version);
-  bad.base = version.digest;
+  bad.base_digest = version.digest;
   version = describe_version (next, 6, 4);
   bad.version = version;
   for (size_t i = 0; i < 2; i++)
     fd_handle_summary (bed->node, &bed->others[i], &version);
   g_assert_true (bed->sent[bed->sent_count - 1].based);
-  bad.request = bed->sent[bed->sent_count - 1].request;
+  bad.request_id = bed->sent[bed->sent_count - 1].request;
   fd_handle_message (bed->node, &bad);
   g_assert_cmpuint (count_sent (bed, FW_FETCH), ==, 2);
   g_assert_false (bed->sent[bed->sent_count - 1].based);
--- a/packages/member/source/member-datagram.c
+++ b/packages/member/source/member-datagram.c
@@ -101,7 +101,7 @@
   entry = fm_find_entry (table, &sender->id);
   if (!entry)
     return;
-  if (fw_is_override (&entry->member, sender))
+  if (fw_overrides (&entry->member, sender))
     fm_add_told (told, entry);
   else if (entry->member.state == FW_LEAVING)
     fm_set_deadline (table, entry, 0);
--- a/packages/member/source/member-update.c
+++ b/packages/member/source/member-update.c
@@ -76,7 +76,7 @@
   const fw_member_t *self = &table->self->member;
   fb_time_t now = fb_read_clock (table->clock);
 
-  if (!fw_is_override (update, self))
+  if (!fw_overrides (update, self))
     return;
   /* Nobody but this process announces its leaving, so that the word comes from the host list.
    */
@@ -177,10 +177,10 @@
       add_member (table, update, source);
       return;
     }
-  if (!fw_is_override (update, &entry->member))
+  if (!fw_overrides (update, &entry->member))
     {
       if (told && (update->state == FW_SUSPECT || update->state == FW_DEAD)
-          && fw_is_override (&entry->member, update))
+          && fw_overrides (&entry->member, update))
         fm_add_told (told, entry);
       return;
     }
--- a/packages/node/source/node-backend.c
+++ b/packages/node/source/node-backend.c
@@ -102,9 +102,10 @@
 void
 fn_refuse_elsewhere (fn_served_t *served, uint32_t status, const char *reason)
 {
-  fw_call_t answer = {
-    .outcome = FW_NOT_RUN, .status = status, .reason = fb_wrap_text (reason), .elsewhere = true
-  };
+  fw_call_t answer = { .outcome = FW_NOT_RUN,
+                       .status = status,
+                       .reason = fb_wrap_text (reason),
+                       .retry_elsewhere = true };
 
   fb_add_counter (served->backend->refused, 1);
   fn_answer_served (served, &answer);
@@ -118,7 +119,7 @@
 
   served->exchange = NULL;
   answer->kind = FW_ANSWER;
-  answer->arrived = !answer->elsewhere;
+  answer->reached_backend = !answer->retry_elsewhere;
   answer->service_us = (uint64_t)(service / FB_MICROSECOND);
   fb_observe_time (backend->services, service);
   if (answer->outcome == FW_UNKNOWN)
@@ -177,18 +178,18 @@
       answer.outcome = FW_ANSWERED;
       answer.status = response->status;
       answer.body = response->body;
-      answer.unframed = response->unframed;
+      answer.close_delimited = response->unframed;
       set_answer_headers (&answer, response);
     }
   else if (response->result == FH_NOT_SENT)
     {
       answer.outcome = FW_NOT_RUN;
       answer.status = 503;
-      answer.elsewhere = true;
+      answer.retry_elsewhere = true;
       avoid_server (served->backend);
     }
   else
-    answer.outcome = served->has_ticket || served->call.single ? FW_UNKNOWN : FW_FAILED;
+    answer.outcome = served->has_ticket || served->call.at_most_once ? FW_UNKNOWN : FW_FAILED;
   end_running (served, &answer);
 }
 
@@ -205,7 +206,7 @@
                              .path = served->call.path,
                              .headers = headers,
                              .body = served->call.body,
-                             .fresh = served->has_ticket || served->call.single,
+                             .fresh = served->has_ticket || served->call.at_most_once,
                              .until_close = dialect->unframed };
   size_t count = served->call.header_count;
   char remaining[24];
@@ -240,7 +241,7 @@
   fw_call_t answer = { .outcome = FW_NOT_RUN,
                        .status = refusal == FR_REFUSED_FULL ? 429 : 503,
                        .reason = fb_wrap_text (fr_describe_refusal (refusal)),
-                       .elsewhere = refusal == FR_REFUSED_CANCELLED };
+                       .retry_elsewhere = refusal == FR_REFUSED_CANCELLED };
 
   fb_add_counter (served->backend->refused, 1);
   if (served->has_ticket)
@@ -294,7 +295,7 @@
   for (guint i = 0; i < late->len; i++)
     {
       fn_served_t *served = g_ptr_array_index (late, i);
-      fw_call_t answer = { .outcome = served->call.single ? FW_UNKNOWN : FW_FAILED,
+      fw_call_t answer = { .outcome = served->call.at_most_once ? FW_UNKNOWN : FW_FAILED,
                            .status = 504,
                            .reason = FB_LITERAL ("deadline passed at the backend server") };
       fh_cancel_exchange (served->exchange);
@@ -357,7 +358,7 @@
   now = fb_read_clock (fk_get_clock (backend->kernel));
   served->arrived = now;
   served->deadline = now + (fb_time_t)MIN (call->remaining_us, TIME_MAX_US) * FB_MICROSECOND;
-  served->aim = now + (fb_time_t)MIN (call->target_us, TIME_MAX_US) * FB_MICROSECOND;
+  served->aim = now + (fb_time_t)MIN (call->target_left_us, TIME_MAX_US) * FB_MICROSECOND;
   return served;
 }
 
@@ -369,7 +370,7 @@
   fn_backend_t *backend = served->backend;
   fc_snapshot_t *snapshot
       = fn_get_snapshot (fk_find_service (backend->kernel, FN_DISTRIBUTION));
-  fr_times_t times = { served->deadline, served->aim, served->call.again };
+  fr_times_t times = { served->deadline, served->aim, served->call.is_caller_retry };
 
   if (served->has_ticket && !fn_begin_ticket (served))
     return;
@@ -554,7 +555,7 @@
     {
       const fw_call_t *call = &((const fn_served_t *)value)->call;
 
-      if (call->repeat
+      if (call->earlier_attempt_arrived
           && fb_equal_str (call->request_id, (fb_str_t){ request_id.data, length - 1 }))
         return true;
     }
--- a/packages/node/source/node-calls.c
+++ b/packages/node/source/node-calls.c
@@ -338,13 +338,13 @@
   fh_outgoing_t outgoing = { .method = FB_LITERAL ("POST"),
                              .path = FB_LITERAL (CALL_PATH),
                              .body = { bytes->data, bytes->len },
-                             .repeatable = !call->single };
+                             .repeatable = !call->at_most_once };
 
   sent->calls = calls;
   sent->id = call->id;
   sent->peer = find_peer (calls, node);
   sent->started = read_time (calls);
-  sent->single = call->single;
+  sent->single = call->at_most_once;
   g_hash_table_insert (calls->sent, &sent->id, sent);
   sent->exchange = fh_send_request (sent->peer->client, &outgoing, receive_answer, sent);
   fk_resume_timer (calls->tick);
--- a/packages/node/source/node-entry-attempt.c
+++ b/packages/node/source/node-entry-attempt.c
@@ -48,7 +48,7 @@
 static fr_result_t
 judge_answer (const fw_call_t *answer)
 {
-  if (answer->outcome == FW_NOT_RUN && answer->elsewhere)
+  if (answer->outcome == FW_NOT_RUN && answer->retry_elsewhere)
     return FR_RESULT_UNREACHABLE;
   if (answer->outcome == FW_NOT_RUN)
     return answer->status == 428 ? FR_RESULT_GOOD : FR_RESULT_REFUSED;
@@ -72,7 +72,7 @@
 may_try_again (fn_entry_call_t *call, const fw_call_t *answer)
 {
   const fc_route_t *route = call->route;
-  bool elsewhere = answer->outcome == FW_NOT_RUN && answer->elsewhere;
+  bool elsewhere = answer->outcome == FW_NOT_RUN && answer->retry_elsewhere;
   fw_outcome_t outcome = is_server_failure (answer) ? FW_FAILED : answer->outcome;
 
   if (outcome == FW_ANSWERED || answer->status == 428 || answer->status == 422)
@@ -109,7 +109,7 @@
   fr_report_customer (entry->throttle, get_service_name (call), call->route->rank,
                       call->customer, accepted);
   call->may_have_run |= answer->outcome != FW_NOT_RUN;
-  call->arrived |= answer->arrived;
+  call->arrived |= answer->reached_backend;
   if (may_try_again (call, answer))
     {
       fb_add_counter (entry->retries, 1);
@@ -128,8 +128,8 @@
                        .outcome = outcome,
                        .status = status,
                        .reason = fb_wrap_text (reason),
-                       .elsewhere = outcome == FW_NOT_RUN,
-                       .arrived = outcome != FW_NOT_RUN };
+                       .retry_elsewhere = outcome == FW_NOT_RUN,
+                       .reached_backend = outcome != FW_NOT_RUN };
 
   if (call->ticket.len > 0)
     {
@@ -188,10 +188,10 @@
     .method = fh_get_method (call->request),
     .host = fh_get_host (call->request),
     .path = fh_get_path (call->request),
-    .single = !route->repeatable,
-    .target_us = (uint64_t)(MAX (call->aim - call->attempt_start, 0) / FB_MICROSECOND),
-    .again = call->again,
-    .repeat = call->arrived || call->below_repeat,
+    .at_most_once = !route->repeatable,
+    .target_left_us = (uint64_t)(MAX (call->aim - call->attempt_start, 0) / FB_MICROSECOND),
+    .is_caller_retry = call->again,
+    .earlier_attempt_arrived = call->arrived || call->below_repeat,
     .ticket = call->ticket,
     .request_id = fb_wrap_text (call->request_id),
     .body = fh_get_body (call->request),
--- a/packages/node/source/node-entry.c
+++ b/packages/node/source/node-entry.c
@@ -53,7 +53,7 @@
       body = (fb_bytes_t){ (const uint8_t *)text->str, text->len };
     }
   fb_add_counter (entry->outcomes[answer->outcome], 1);
-  if (answer->unframed)
+  if (answer->close_delimited)
     fh_respond_unframed (request, answer->status, headers, count, body);
   else
     fh_respond (request, answer->status, headers, count, body);
--- a/packages/node/source/node-feed.c
+++ b/packages/node/source/node-feed.c
@@ -4,7 +4,7 @@
 #include <foxtailrun/base/invariant.h>
 #include <foxtailrun/dist/feed.h>
 #include <foxtailrun/http/client.h>
-#include <foxtailrun/wire/news.h>
+#include <foxtailrun/wire/feed.h>
 #include <glib.h>
 #include <sodium.h>
 
@@ -151,11 +151,11 @@
 receive_news (const fh_response_t *response, void *user)
 {
   fn_feed_t *feed = user;
-  fw_news_t news;
+  fw_feed_message_t news;
 
   if (response->result != FH_ANSWERED || response->status != 200)
     fd_fail_ask (feed->feed, response->error ? response->error : "no answer");
-  else if (fw_decode_news (response->body, &news) != FB_OK)
+  else if (fw_decode_feed (response->body, &news) != FB_OK)
     {
       fb_add_counter (feed->malformed, 1);
       fd_fail_ask (feed->feed, "malformed news");
@@ -163,7 +163,7 @@
   else
     {
       fd_handle_news (feed->feed, &news);
-      fw_clear_news (&news);
+      fw_clear_feed (&news);
     }
   /* The relay's client, which the next run may replace, is still in use here. */
   wake_at (feed, 0);
@@ -185,11 +185,11 @@
 }
 
 static void
-send_ask (const fw_member_t *peer, const fw_news_t *ask, void *user)
+send_ask (const fw_member_t *peer, const fw_feed_message_t *ask, void *user)
 {
   fn_feed_t *feed = user;
   size_t length;
-  uint8_t *bytes = fw_encode_news (ask, &length);
+  uint8_t *bytes = fw_encode_feed (ask, &length);
   fh_outgoing_t outgoing = { .method = FB_LITERAL ("POST"),
                              .path = FB_LITERAL (FN_NEWS_PATH),
                              .body = { bytes, length },
@@ -201,10 +201,10 @@
 }
 
 static void
-answer_ask (void *asker, const fw_news_t *news, void *user)
+answer_ask (void *asker, const fw_feed_message_t *news, void *user)
 {
   size_t length;
-  uint8_t *bytes = fw_encode_news (news, &length);
+  uint8_t *bytes = fw_encode_feed (news, &length);
 
   fh_respond (asker, 200, NULL, 0, (fb_bytes_t){ bytes, length });
   g_free (bytes);
@@ -223,19 +223,19 @@
 fn_receive_ask (fk_kernel_t *kernel, fh_request_t *request)
 {
   fn_feed_t *feed = fk_find_service (kernel, FN_SOURCE);
-  fw_news_t ask;
+  fw_feed_message_t ask;
 
-  if (!fn_get_adapter (kernel)->listed || fw_decode_news (fh_get_body (request), &ask) != FB_OK)
+  if (!fn_get_adapter (kernel)->listed || fw_decode_feed (fh_get_body (request), &ask) != FB_OK)
     {
       fh_respond (request, 400, NULL, 0, (fb_bytes_t){ NULL, 0 });
       return;
     }
   fh_watch_cancel (request, drop_ask, feed);
-  if (ask.kind == FW_NEWS_ASK)
+  if (ask.kind == FW_FEED_REQUEST)
     fd_handle_ask (feed->feed, request, &ask);
   else
     drop_ask (request, feed);
-  fw_clear_news (&ask);
+  fw_clear_feed (&ask);
   wake_at (feed, 0);
 }
 
--- a/packages/wire/include/foxtailrun/wire/call.h
+++ b/packages/wire/include/foxtailrun/wire/call.h
@@ -47,22 +47,22 @@
   fb_str_t method;
   fb_str_t host; /* that the caller asked for */
   fb_str_t path;
-  bool single;        /* may run at most once */
-  uint64_t target_us; /* time left until the latency target; 0 when it has passed */
-  bool again;         /* the caller was refused before and has come back */
-  bool repeat;        /* an earlier attempt of the same request has arrived */
-  fb_str_t ticket;    /* empty unless the route needs one */
+  bool at_most_once;            /* may run at most once */
+  uint64_t target_left_us;      /* time left until the latency target; 0 when it has passed */
+  bool is_caller_retry;         /* the caller was refused before and has come back */
+  bool earlier_attempt_arrived; /* an earlier attempt of the same request has arrived */
+  fb_str_t ticket;              /* empty unless the route needs one */
   fb_str_t request_id;
   /* ANSWER */
   fw_outcome_t outcome;
-  uint32_t status;     /* HTTP status */
-  bool unframed;       /* only the end of its connection ended the body */
-  fb_str_t reason;     /* why a call was not run or is unknown */
-  bool elsewhere;      /* not run for a reason that other instances need not share */
-  bool arrived;        /* the request has, or may have, reached the backend server */
-  uint32_t load;       /* slots in use plus waiting, per 1,000 slots */
-  uint64_t service_us; /* time at the backend server */
-  uint64_t wait_us;    /* that a further call of the same rank may expect */
+  uint32_t status;      /* HTTP status */
+  bool close_delimited; /* only the end of its connection ended the body */
+  fb_str_t reason;      /* why a call was not run or is unknown */
+  bool retry_elsewhere; /* not run for a reason that other instances need not share */
+  bool reached_backend; /* the request has, or may have, reached the backend server */
+  uint32_t load;        /* slots in use plus waiting, per 1,000 slots */
+  uint64_t service_us;  /* time at the backend server */
+  uint64_t wait_us;     /* that a further call of the same rank may expect */
   /* CALL and ANSWER */
   size_t header_count;
   fw_header_t headers[FW_HEADERS_MAX];
--- a/packages/wire/include/foxtailrun/wire/control.h
+++ b/packages/wire/include/foxtailrun/wire/control.h
@@ -10,26 +10,26 @@
 #define FW_DOCUMENT_MAX (1024 * 1024)
 
 /* Members in one MEMBERS page. */
-#define FW_PAGE_MAX 256
+#define FW_MEMBERS_PER_PAGE_MAX 256
 
 typedef enum
 {
-  FW_SUMMARY_ASK = 1, /* which version do you hold? */
-  FW_SUMMARY = 2,     /* version, ready */
-  FW_FETCH = 3,       /* send your document; base is the digest held, zero for none */
-  FW_DOCUMENT = 4,    /* version, base, payload: zstd frame */
-  FW_MEMBERS_ASK = 5, /* page */
-  FW_MEMBERS = 6      /* page, page_count, members */
+  FW_SUMMARY_REQUEST = 1, /* which version do you hold? */
+  FW_SUMMARY = 2,         /* version, ready */
+  FW_FETCH = 3,           /* send your document; base is the digest held, zero for none */
+  FW_DOCUMENT = 4,        /* version, base, payload: zstd frame */
+  FW_MEMBERS_REQUEST = 5, /* page */
+  FW_MEMBERS = 6          /* page, page_count, members */
 } fw_control_kind_t;
 
 typedef struct
 {
   fw_control_kind_t kind;
-  uint64_t request; /* chosen by the asker, repeated in the answer */
+  uint64_t request_id; /* chosen by the asker, repeated in the answer */
   fb_name_t sender;
   fb_version_t version;
-  bool ready;       /* SUMMARY: the sender takes calls */
-  fb_digest_t base; /* FETCH, DOCUMENT: the document the difference starts from */
+  bool ready;              /* SUMMARY: the sender takes calls */
+  fb_digest_t base_digest; /* FETCH, DOCUMENT: the document the difference starts from */
   uint32_t page;
   uint32_t page_count;
   fb_bytes_t payload; /* DOCUMENT: borrowed from the encoded bytes after decoding */
--- a/packages/wire/include/foxtailrun/wire/member.h
+++ b/packages/wire/include/foxtailrun/wire/member.h
@@ -39,6 +39,6 @@
 const char *fw_describe_state (fw_member_state_t state);
 
 /* Returns whether update NEWER overrides OLDER about the same node. */
-bool fw_is_override (const fw_member_t *newer, const fw_member_t *older);
+bool fw_overrides (const fw_member_t *newer, const fw_member_t *older);
 
 #endif
--- a/packages/wire/source/wire-control.c
+++ b/packages/wire/source/wire-control.c
@@ -25,14 +25,14 @@
   msgpack_pack_array (&packer, 13);
   msgpack_pack_uint64 (&packer, CONTROL_FORMAT);
   msgpack_pack_uint64 (&packer, (uint64_t)message->kind);
-  msgpack_pack_uint64 (&packer, message->request);
+  msgpack_pack_uint64 (&packer, message->request_id);
   fw_pack_name (&packer, &message->sender);
   fw_pack_version (&packer, &message->version);
   if (message->ready)
     msgpack_pack_true (&packer);
   else
     msgpack_pack_false (&packer);
-  fw_pack_bin (&packer, message->base.bytes, FB_DIGEST_LEN);
+  fw_pack_bin (&packer, message->base_digest.bytes, FB_DIGEST_LEN);
   msgpack_pack_uint64 (&packer, message->page);
   msgpack_pack_uint64 (&packer, message->page_count);
   fw_pack_bin (&packer, message->payload.data, message->payload.len);
@@ -55,16 +55,16 @@
   if (fw_read_u64 (&reader, CONTROL_FORMAT) != CONTROL_FORMAT)
     return false;
   message->kind = (fw_control_kind_t)fw_read_u64 (&reader, FW_MEMBERS);
-  message->request = fw_read_u64 (&reader, UINT64_MAX);
+  message->request_id = fw_read_u64 (&reader, UINT64_MAX);
   fw_read_name (&reader, &message->sender);
   fw_read_version (&reader, &message->version);
   message->ready = fw_read_bool (&reader);
-  fw_read_digest (&reader, &message->base);
+  fw_read_digest (&reader, &message->base_digest);
   message->page = (uint32_t)fw_read_u64 (&reader, PAGES_MAX);
   message->page_count = (uint32_t)fw_read_u64 (&reader, PAGES_MAX);
   message->payload = fw_read_bin (&reader, PAYLOAD_MAX);
-  members = fw_start_reader (fw_read_array (&reader, FW_PAGE_MAX));
-  if (!fw_finish_reader (&reader) || message->kind < FW_SUMMARY_ASK)
+  members = fw_start_reader (fw_read_array (&reader, FW_MEMBERS_PER_PAGE_MAX));
+  if (!fw_finish_reader (&reader) || message->kind < FW_SUMMARY_REQUEST)
     return false;
   message->member_count = members.count;
   message->members = g_new0 (fw_member_t, members.count);
--- a/packages/wire/source/wire-member.c
+++ b/packages/wire/source/wire-member.c
@@ -18,7 +18,7 @@
 }
 
 bool
-fw_is_override (const fw_member_t *newer, const fw_member_t *older)
+fw_overrides (const fw_member_t *newer, const fw_member_t *older)
 {
   if (newer->incarnation != older->incarnation)
     return newer->incarnation > older->incarnation;
--- a/packages/wire/tests/test-wire.c
+++ b/packages/wire/tests/test-wire.c
@@ -2,7 +2,7 @@
 #include <foxtailrun/wire/call.h>
 #include <foxtailrun/wire/control.h>
 #include <foxtailrun/wire/datagram.h>
-#include <foxtailrun/wire/news.h>
+#include <foxtailrun/wire/feed.h>
 #include <glib.h>
 #include <string.h>
 
@@ -82,11 +82,11 @@
 make_control (fw_member_t *members)
 {
   return (fw_control_t){ .kind = FW_DOCUMENT,
-                         .request = 3,
+                         .request_id = 3,
                          .sender = fb_make_name ("node-0001"),
                          .version = { 4, 5, { { 6 } } },
                          .ready = true,
-                         .base = { { 1, 2, 3 } },
+                         .base_digest = { { 1, 2, 3 } },
                          .page = 1,
                          .page_count = 2,
                          .payload = { (const uint8_t *)"payload", 7 },
@@ -106,10 +106,10 @@
 
   g_assert_cmpint (fw_decode_control ((fb_bytes_t){ bytes, length }, &got), ==, FB_OK);
   g_assert_cmpint (got.kind, ==, FW_DOCUMENT);
-  g_assert_cmpuint (got.request, ==, 3);
+  g_assert_cmpuint (got.request_id, ==, 3);
   g_assert_true (got.ready);
   g_assert_cmpmem (got.payload.data, got.payload.len, "payload", 7);
-  g_assert_cmpmem (got.base.bytes, FB_DIGEST_LEN, sent.base.bytes, FB_DIGEST_LEN);
+  g_assert_cmpmem (got.base_digest.bytes, FB_DIGEST_LEN, sent.base_digest.bytes, FB_DIGEST_LEN);
   g_assert_cmpuint (got.page_count, ==, 2);
   g_assert_cmpuint (got.member_count, ==, 2);
   assert_same_member (&got.members[1], &members[1]);
@@ -159,23 +159,23 @@
   g_free (bytes);
 }
 
-static fw_news_t
+static fw_feed_message_t
 make_news (fw_endpoint_t endpoints[2])
 {
   endpoints[0] = (fw_endpoint_t){ make_member (1), 9 };
   endpoints[1] = (fw_endpoint_t){ make_member (2), UINT32_MAX };
-  return (fw_news_t){ .kind = FW_NEWS,
-                      .feed = UINT64_MAX,
-                      .sequence = 7,
-                      .position = 8,
-                      .document = 9,
-                      .digest = { { 1 } },
-                      .delta = { (const uint8_t *)"delta", 5 },
-                      .age_us = 10,
-                      .held_us = 11,
-                      .whole = true,
-                      .endpoint_count = 2,
-                      .endpoints = endpoints };
+  return (fw_feed_message_t){ .kind = FW_FEED_UPDATE,
+                              .feed_id = UINT64_MAX,
+                              .sequence = 7,
+                              .position = 8,
+                              .document_position = 9,
+                              .digest = { { 1 } },
+                              .delta = { (const uint8_t *)"delta", 5 },
+                              .age_us = 10,
+                              .request_wait_us = 11,
+                              .complete = true,
+                              .endpoint_count = 2,
+                              .endpoints = endpoints };
 }
 
 /* Guards against news whose endpoints or configuration change on the way. */
@@ -183,29 +183,29 @@
 test_news_round_trip (void)
 {
   fw_endpoint_t endpoints[2];
-  fw_news_t sent = make_news (endpoints);
-  fw_news_t got;
+  fw_feed_message_t sent = make_news (endpoints);
+  fw_feed_message_t got;
   size_t length;
-  uint8_t *bytes = fw_encode_news (&sent, &length);
+  uint8_t *bytes = fw_encode_feed (&sent, &length);
 
-  g_assert_cmpint (fw_decode_news ((fb_bytes_t){ bytes, length }, &got), ==, FB_OK);
-  g_assert_cmpint (got.kind, ==, FW_NEWS);
-  g_assert_cmpuint (got.feed, ==, UINT64_MAX);
+  g_assert_cmpint (fw_decode_feed ((fb_bytes_t){ bytes, length }, &got), ==, FB_OK);
+  g_assert_cmpint (got.kind, ==, FW_FEED_UPDATE);
+  g_assert_cmpuint (got.feed_id, ==, UINT64_MAX);
   g_assert_cmpuint (got.sequence, ==, 7);
   g_assert_cmpuint (got.position, ==, 8);
-  g_assert_cmpuint (got.document, ==, 9);
+  g_assert_cmpuint (got.document_position, ==, 9);
   g_assert_cmpmem (got.digest.bytes, FB_DIGEST_LEN, sent.digest.bytes, FB_DIGEST_LEN);
   g_assert_cmpmem (got.delta.data, got.delta.len, "delta", 5);
   g_assert_cmpuint (got.age_us, ==, 10);
-  g_assert_cmpuint (got.held_us, ==, 11);
-  g_assert_true (got.whole);
+  g_assert_cmpuint (got.request_wait_us, ==, 11);
+  g_assert_true (got.complete);
   g_assert_cmpuint (got.endpoint_count, ==, 2);
   for (size_t i = 0; i < 2; i++)
     {
       assert_same_member (&got.endpoints[i].member, &endpoints[i].member);
       g_assert_cmpuint (got.endpoints[i].slots, ==, endpoints[i].slots);
     }
-  fw_clear_news (&got);
+  fw_clear_feed (&got);
   g_free (bytes);
 }
 
@@ -215,7 +215,7 @@
   fw_datagram_t datagram;
   fw_control_t control;
   fw_call_t call;
-  fw_news_t news;
+  fw_feed_message_t news;
   fb_status_t status;
 
   if (codec == 0)
@@ -224,9 +224,9 @@
     return fw_decode_call (bytes, (fb_bytes_t){ NULL, 0 }, &call);
   if (codec == 3)
     {
-      status = fw_decode_news (bytes, &news);
+      status = fw_decode_feed (bytes, &news);
       if (status == FB_OK)
-        fw_clear_news (&news);
+        fw_clear_feed (&news);
       return status;
     }
   status = fw_decode_control (bytes, &control);
@@ -243,7 +243,7 @@
   fw_control_t control = make_control (members);
   fw_call_t call = make_call ();
   fw_endpoint_t endpoints[2];
-  fw_news_t news = make_news (endpoints);
+  fw_feed_message_t news = make_news (endpoints);
   uint8_t *buffer;
   size_t fitted;
 
@@ -252,7 +252,7 @@
   if (codec == 2)
     return fw_encode_call (&call, length);
   if (codec == 3)
-    return fw_encode_news (&news, length);
+    return fw_encode_feed (&news, length);
   buffer = g_malloc (FW_DATAGRAM_MAX);
   g_assert_cmpint (fw_encode_datagram (&datagram, buffer, length, &fitted), ==, FB_OK);
   return buffer;
@@ -341,7 +341,7 @@
           = { .incarnation = cases[i].newer_incarnation, .state = cases[i].newer_state };
       fw_member_t older
           = { .incarnation = cases[i].older_incarnation, .state = cases[i].older_state };
-      g_assert_cmpint (fw_is_override (&newer, &older), ==, cases[i].overrides);
+      g_assert_cmpint (fw_overrides (&newer, &older), ==, cases[i].overrides);
     }
 }
 
--- a/standins/fleet/fleet-host.c
+++ b/standins/fleet/fleet-host.c
@@ -45,7 +45,7 @@
     }
   changed = g_memdup2 (document.data, document.len);
   changed[document.len - 2]++; /* the last digit: "retries = 2" */
-  memset (&message->base, 0, sizeof message->base);
+  memset (&message->base_digest, 0, sizeof message->base_digest);
   frame = fc_encode_delta ((fb_bytes_t){ NULL, 0 }, (fb_bytes_t){ changed, document.len },
                            &message->payload.len);
   message->payload.data = frame;
