--- a/bench/bench-admission.c
+++ b/bench/bench-admission.c
@@ -22,12 +22,12 @@
   const char *name;
   sim_policy_t policy;
 } policies[] = {
-  { "fifo", { FR_POLICY_FIFO, FR_PICK_TWO, false } },
-  { "strict", { FR_POLICY_STRICT, FR_PICK_TWO, false } },
-  { "fair", { FR_POLICY_FAIR, FR_PICK_TWO, false } },
-  { "adaptive", { FR_POLICY_ADAPTIVE, FR_PICK_TWO, false } },
-  { "shares", { FR_POLICY_SHARES, FR_PICK_TWO, false } },
-  { "shares+throttle", { FR_POLICY_SHARES, FR_PICK_TWO, true } },
+  { "fifo", { FR_POLICY_FIFO, FR_PICK_TWO_CHOICES, false } },
+  { "strict", { FR_POLICY_STRICT, FR_PICK_TWO_CHOICES, false } },
+  { "fair", { FR_POLICY_FAIR, FR_PICK_TWO_CHOICES, false } },
+  { "adaptive", { FR_POLICY_ADAPTIVE, FR_PICK_TWO_CHOICES, false } },
+  { "shares", { FR_POLICY_SHARES, FR_PICK_TWO_CHOICES, false } },
+  { "shares+throttle", { FR_POLICY_SHARES, FR_PICK_TWO_CHOICES, true } },
 };
 
 /* Prints one run; BASE is the steady run of the same policy, or NULL. */
--- a/bench/bench-call-cost.c
+++ b/bench/bench-call-cost.c
@@ -53,7 +53,7 @@
 {
   hooks_t state = { G_QUEUE_INIT, 0 };
   const fr_admission_hooks_t hooks = { on_start, on_refuse, &state };
-  const fr_rank_rule_t rules[] = { { 0.5, 0, 0 }, { 0.3, 0, 0 }, { 0.1, 0, 0 } };
+  const fr_rank_options_t rules[] = { { 0.5, 0, 0 }, { 0.3, 0, 0 }, { 0.1, 0, 0 } };
   fb_counters_t *counters = fb_create_counters ();
   fr_admission_t *admission
       = fr_create_admission (FR_POLICY_SHARES, SLOTS, rules, 3, clock, counters, &hooks);
@@ -84,7 +84,7 @@
 {
   fb_name_t self = make_name ("entry", 0);
   fb_name_t zone = make_name ("zone", 0);
-  fr_picker_t *picker = fr_create_picker (FR_PICK_TWO, &self, &zone, 1, clock);
+  fr_picker_t *picker = fr_create_picker (FR_PICK_TWO_CHOICES, &self, &zone, 1, clock);
   fb_time_t start = fb_read_clock (clock);
 
   for (int i = 0; i < FLEET; i++)
@@ -103,7 +103,7 @@
       fb_name_t picked;
 
       if (fr_pick_ranked (picker, service, 0, service, NULL, 0, &picked))
-        fr_report_ranked (picker, &picked, 0, FR_RESULT_GOOD, FB_MILLISECOND, 500);
+        fr_report_ranked (picker, &picked, 0, FR_RESULT_ANSWERED, FB_MILLISECOND, 500);
     }
   print_cost ("picker: pick and report, 16 of 3,000", clock, start, ROUNDS);
   fr_destroy_picker (picker);
--- a/bench/bench-pick.c
+++ b/bench/bench-pick.c
@@ -22,8 +22,8 @@
   const char *name;
   fr_pick_policy_t policy;
 } policies[] = {
-  { "two", FR_PICK_TWO },
-  { "least", FR_PICK_LEAST },
+  { "two", FR_PICK_TWO_CHOICES },
+  { "least", FR_PICK_LEAST_IN_FLIGHT },
   { "round-robin", FR_PICK_ROUND_ROBIN },
 };
 
--- a/bench/sim-service.c
+++ b/bench/sim-service.c
@@ -122,7 +122,7 @@
   sim_t *sim = host->sim;
   call_t *call = data;
 
-  call->result = FR_RESULT_GOOD;
+  call->result = FR_RESULT_ANSWERED;
   call->slot = call->work;
   if (host->index == 0 && sim->scenario->slowness > 0)
     call->slot = (fb_time_t)((double)call->work * sim->scenario->slowness);
@@ -223,13 +223,13 @@
   if (sim->policy->throttle)
     fr_report_customer (entry->throttle, service_name, call->rank,
                         fb_get_name (&call->customer_name), call->result != FR_RESULT_REFUSED);
-  if (call->result == FR_RESULT_GOOD)
+  if (call->result == FR_RESULT_ANSWERED)
     count_answer (sim, call);
   else
     outcome = call->result == FR_RESULT_REFUSED ? FW_NOT_RUN : FW_FAILED;
   if (sim->policy->throttle && call->tries <= RETRIES && now < call->arrived + rank->deadline
-      && fr_may_retry (outcome, rank->repeatable, false)
-      && fr_take_retry (entry->budget, service_name, 0) && send_attempt (sim, call))
+      && fr_is_retry_safe (outcome, rank->repeatable, false)
+      && fr_withdraw_retry (entry->budget, service_name, 0) && send_attempt (sim, call))
     return;
   g_free (call);
 }
@@ -256,7 +256,7 @@
       if (rank == SIM_FLOODED_RANK && customer != 0)
         sim->result->others_offered++;
     }
-  fr_earn_retry (sim->hosts[call->entry].budget, service_name);
+  fr_deposit_retry (sim->hosts[call->entry].budget, service_name);
   if (!send_attempt (sim, call))
     g_free (call);
 }
@@ -318,10 +318,10 @@
 create_hosts (sim_t *sim)
 {
   uint32_t count = sim->deployment->instances;
-  fr_rank_rule_t rules[SIM_RANKS];
+  fr_rank_options_t rules[SIM_RANKS];
 
   for (int i = 0; i < SIM_RANKS; i++)
-    rules[i] = (fr_rank_rule_t){ SIM_RANK_TABLE[i].share, SIM_RANK_TABLE[i].target, 0 };
+    rules[i] = (fr_rank_options_t){ SIM_RANK_TABLE[i].share, SIM_RANK_TABLE[i].target, 0 };
   for (uint32_t i = 0; i < count; i++)
     {
       host_t *host = &sim->hosts[i];
--- a/packages/call/include/foxtailrun/call/admission.h
+++ b/packages/call/include/foxtailrun/call/admission.h
@@ -28,10 +28,10 @@
 
 typedef struct
 {
-  double share;       /* guaranteed part of slot time, 0 to 1 */
-  fb_time_t target;   /* latency target, ns */
-  uint32_t queue_max; /* most calls waiting; 0 for the default */
-} fr_rank_rule_t;
+  double share;             /* guaranteed part of slot time, 0 to 1 */
+  fb_time_t latency_target; /* latency target, ns */
+  uint32_t queue_max;       /* most calls waiting; 0 for the default */
+} fr_rank_options_t;
 
 typedef struct
 {
@@ -50,7 +50,7 @@
 /* Creates admission for SLOTS slots and RANK_COUNT ranks in order of urgency; RANKS and HOOKS
  * are copied, CLOCK and COUNTERS borrowed. */
 fr_admission_t *fr_create_admission (fr_policy_t policy, uint32_t slots,
-                                     const fr_rank_rule_t *ranks, size_t rank_count,
+                                     const fr_rank_options_t *ranks, size_t rank_count,
                                      const fb_clock_t *clock, fb_counters_t *counters,
                                      const fr_admission_hooks_t *hooks);
 
@@ -59,8 +59,8 @@
 
 /* Takes over new rules, 1 slot and 1 rank at least, when a configuration changes; calls keep
  * waiting, ranks that went away join the least urgent. */
-void fr_set_rules (fr_admission_t *admission, uint32_t slots, const fr_rank_rule_t *ranks,
-                   size_t rank_count);
+void fr_configure_admission (fr_admission_t *admission, uint32_t slots,
+                             const fr_rank_options_t *ranks, size_t rank_count);
 
 /* Offers CALL of RANK and CUSTOMER with WEIGHT and absolute DEADLINE in ns. Exactly one hook is
  * called for it, now or later; ID names it for the calls below and must be unused. */
@@ -70,16 +70,17 @@
 /* When a call is worth what. */
 typedef struct
 {
-  fb_time_t deadline; /* absolute, ns */
-  fb_time_t aim;      /* absolute: until here it counts as served in time; 0 stands for the
-                         target of its rank from now on */
-  bool again;         /* it was refused before and has come back: it goes before the others of
-                         its customer */
-} fr_times_t;
+  fb_time_t deadline;    /* absolute, ns */
+  fb_time_t target_time; /* absolute: until here it counts as served in time; 0 stands for the
+                    target of its rank from now on */
+  bool is_caller_retry; /* it was refused before and has come back: it goes before the others of
+                 its customer */
+} fr_call_times_t;
 
 /* The same for a call with a latency target of its own. */
-void fr_offer_timed (fr_admission_t *admission, uint64_t id, void *call, uint32_t rank,
-                     fb_str_t customer, double weight, const fr_times_t *times);
+void fr_offer_call_with_times (fr_admission_t *admission, uint64_t id, void *call,
+                               uint32_t rank, fb_str_t customer, double weight,
+                               const fr_call_times_t *times);
 
 /* Ends a started call and frees its slot. */
 void fr_finish_call (fr_admission_t *admission, uint64_t id);
@@ -98,7 +99,7 @@
 uint32_t fr_get_load (const fr_admission_t *admission);
 
 /* Returns the time in ns that a new call of RANK may expect to wait. */
-fb_time_t fr_get_wait (const fr_admission_t *admission, uint32_t rank);
+fb_time_t fr_get_expected_wait (const fr_admission_t *admission, uint32_t rank);
 
 /* Returns calls started and not finished, and calls waiting. */
 size_t fr_count_started (const fr_admission_t *admission);
--- a/packages/call/include/foxtailrun/call/once.h
+++ b/packages/call/include/foxtailrun/call/once.h
@@ -19,13 +19,13 @@
 
 typedef enum
 {
-  FR_ONCE_RUN,      /* first use: run it, then fr_end_once */
-  FR_ONCE_RUNNING,  /* a first use is running; its answer will serve this one too */
-  FR_ONCE_ANSWERED, /* the recorded answer is returned */
-  FR_ONCE_UNKNOWN,  /* it ran or may have run, and no answer is recorded */
-  FR_ONCE_REFUSED,  /* refused as not run before: it never ran and never will */
-  FR_ONCE_MISMATCH, /* the ticket was used for another request */
-  FR_ONCE_FOREIGN,  /* not issued by this process; it may have run elsewhere */
+  FR_ONCE_RUN,           /* first use: run it, then fr_end_once */
+  FR_ONCE_RUNNING,       /* a first use is running; its answer will serve this one too */
+  FR_ONCE_ANSWERED,      /* the recorded answer is returned */
+  FR_ONCE_UNKNOWN,       /* it ran or may have run, and no answer is recorded */
+  FR_ONCE_REFUSED,       /* refused as not run before: it never ran and never will */
+  FR_ONCE_MISMATCH,      /* the ticket was used for another request */
+  FR_ONCE_OTHER_PROCESS, /* not issued by this process; it may have run elsewhere */
   FR_ONCE_INVALID /* not a ticket of this process: wrong nonce or serial never issued; it never
                      ran */
 } fr_once_state_t;
@@ -68,7 +68,7 @@
                                 uint64_t request_digest, fb_bytes_t *answer);
 
 /* Returns records held and bytes of answers held. */
-size_t fr_count_once (const fr_once_t *once);
-size_t fr_size_once (const fr_once_t *once);
+size_t fr_count_once_records (const fr_once_t *once);
+size_t fr_get_once_bytes (const fr_once_t *once);
 
 #endif
--- a/packages/call/include/foxtailrun/call/picker.h
+++ b/packages/call/include/foxtailrun/call/picker.h
@@ -5,12 +5,12 @@
 #include <foxtailrun/base/clock.h>
 #include <foxtailrun/member/table.h>
 
-/* How an instance is chosen; FR_PICK_NEAR is the product's, the others are baselines. */
+/* How an instance is chosen; FR_PICK_LOCALITY is the product's, the others are baselines. */
 typedef enum
 {
-  FR_PICK_NEAR,
-  FR_PICK_TWO,
-  FR_PICK_LEAST,
+  FR_PICK_LOCALITY,
+  FR_PICK_TWO_CHOICES,
+  FR_PICK_LEAST_IN_FLIGHT,
   FR_PICK_ROUND_ROBIN,
   FR_PICK_RENDEZVOUS
 } fr_pick_policy_t;
@@ -18,11 +18,11 @@
 /* What an attempt showed about an instance. */
 typedef enum
 {
-  FR_RESULT_GOOD,        /* answered */
+  FR_RESULT_ANSWERED,    /* answered */
   FR_RESULT_REFUSED,     /* refused by admission; not a fault of the instance */
   FR_RESULT_UNREACHABLE, /* takes no calls at all: left aside for a short time */
   FR_RESULT_FAILED,      /* error, cut answer, silence */
-  FR_RESULT_LOST         /* cancelled; says nothing */
+  FR_RESULT_CANCELLED    /* cancelled; says nothing */
 } fr_result_t;
 
 typedef struct fr_picker fr_picker_t;
@@ -66,8 +66,8 @@
 
 /* Takes from an answer the time SERVICE at the backend server, 0 when it did not run there, and
  * the WAIT that a further call of RANK may expect, both in ns. */
-void fr_report_wait (fr_picker_t *picker, const fb_name_t *instance, uint32_t rank,
-                     fb_time_t service, fb_time_t wait);
+void fr_report_times (fr_picker_t *picker, const fb_name_t *instance, uint32_t rank,
+                      fb_time_t service, fb_time_t wait);
 void fr_begin_ranked (fr_picker_t *picker, const fb_name_t *instance, uint32_t rank);
 void fr_report_ranked (fr_picker_t *picker, const fb_name_t *instance, uint32_t rank,
                        fr_result_t result, fb_time_t latency, uint32_t load);
--- a/packages/call/include/foxtailrun/call/retry.h
+++ b/packages/call/include/foxtailrun/call/retry.h
@@ -22,11 +22,11 @@
 void fr_set_retry_allowance (fr_retry_budget_t *budget, double ratio, double floor);
 
 /* Counts a first attempt to SERVICE, which earns a part of a retry. */
-void fr_earn_retry (fr_retry_budget_t *budget, fb_str_t service);
+void fr_deposit_retry (fr_retry_budget_t *budget, fb_str_t service);
 
 /* Takes one retry of a call of RANK, 0 being the most urgent, from the budget of SERVICE;
  * returns false when there is none. Less urgent ranks leave a part to the others. */
-bool fr_take_retry (fr_retry_budget_t *budget, fb_str_t service, uint32_t rank);
+bool fr_withdraw_retry (fr_retry_budget_t *budget, fb_str_t service, uint32_t rank);
 
 /* Counts a retry that is made whatever the budget holds, such as a call that a run makes once
  * more because it is a repeat itself. */
@@ -35,7 +35,7 @@
 /* Returns whether an attempt that ended with OUTCOME may be made again: only when it provably
  * did not run, or the route is repeatable and no answer came. HAS_TICKET forbids any other
  * node. */
-bool fr_may_retry (fw_outcome_t outcome, bool repeatable, bool has_ticket);
+bool fr_is_retry_safe (fw_outcome_t outcome, bool repeatable, bool has_ticket);
 
 typedef struct fr_throttle fr_throttle_t;
 
--- a/packages/call/source/admission-queue.c
+++ b/packages/call/source/admission-queue.c
@@ -43,7 +43,7 @@
 }
 
 rank_t *
-fr_create_rank (uint32_t index, const fr_rank_rule_t *rule)
+fr_create_rank (uint32_t index, const fr_rank_options_t *rule)
 {
   rank_t *rank = g_new0 (rank_t, 1);
 
--- a/packages/call/source/admission-share.c
+++ b/packages/call/source/admission-share.c
@@ -181,7 +181,7 @@
 }
 
 fb_time_t
-fr_get_wait (const fr_admission_t *admission, uint32_t index)
+fr_get_expected_wait (const fr_admission_t *admission, uint32_t index)
 {
   const rank_t *rank
       = g_ptr_array_index (admission->ranks, MIN (index, admission->ranks->len - 1));
--- a/packages/call/source/admission-state.h
+++ b/packages/call/source/admission-state.h
@@ -48,7 +48,7 @@
 struct rank
 {
   uint32_t index;
-  fr_rank_rule_t rule;
+  fr_rank_options_t rule;
   GHashTable *flows; /* customer -> flow_t */
   GSequence *turns;  /* flows with waiting calls, by pass */
   double virtual_time;
@@ -90,7 +90,7 @@
 /* admission-queue.c */
 
 /* Creates an empty rank with RULE. */
-rank_t *fr_create_rank (uint32_t index, const fr_rank_rule_t *rule);
+rank_t *fr_create_rank (uint32_t index, const fr_rank_options_t *rule);
 
 /* Frees a rank with its flows; waiting entries belong to the table of entries. */
 void fr_destroy_rank (rank_t *rank);
--- a/packages/call/source/admission.c
+++ b/packages/call/source/admission.c
@@ -97,9 +97,9 @@
   if (entry->aim > 0)
     return admission->policy == FR_POLICY_SHARES && rank->waiting > 1
            && misses_aim (rank, now, entry->aim) && !fr_is_below_share (admission, rank);
-  return admission->policy == FR_POLICY_SHARES && rank->rule.target > 0 && rank->started > 0
-         && !entry->within_turn
-         && (double)(now - entry->arrived) + rank->service > (double)rank->rule.target
+  return admission->policy == FR_POLICY_SHARES && rank->rule.latency_target > 0
+         && rank->started > 0 && !entry->within_turn
+         && (double)(now - entry->arrived) + rank->service > (double)rank->rule.latency_target
          && !fr_is_below_share (admission, rank);
 }
 
@@ -148,7 +148,7 @@
 }
 
 static void
-set_ranks (fr_admission_t *admission, const fr_rank_rule_t *ranks, size_t rank_count)
+set_ranks (fr_admission_t *admission, const fr_rank_options_t *ranks, size_t rank_count)
 {
   size_t old_count = admission->ranks->len;
 
@@ -167,7 +167,7 @@
 }
 
 fr_admission_t *
-fr_create_admission (fr_policy_t policy, uint32_t slots, const fr_rank_rule_t *ranks,
+fr_create_admission (fr_policy_t policy, uint32_t slots, const fr_rank_options_t *ranks,
                      size_t rank_count, const fb_clock_t *clock, fb_counters_t *counters,
                      const fr_admission_hooks_t *hooks)
 {
@@ -210,8 +210,8 @@
 }
 
 void
-fr_set_rules (fr_admission_t *admission, uint32_t slots, const fr_rank_rule_t *ranks,
-              size_t rank_count)
+fr_configure_admission (fr_admission_t *admission, uint32_t slots,
+                        const fr_rank_options_t *ranks, size_t rank_count)
 {
   GHashTableIter iter;
   void *value;
@@ -261,14 +261,14 @@
 /* Returns whether the wait of a new call of RANK can be told. A rank that runs nothing gets one
  * call through whatever the average says, or a wrong average would never be corrected. */
 static bool
-can_estimate (const rank_t *rank, const fr_times_t *times)
+can_estimate (const rank_t *rank, const fr_call_times_t *times)
 {
-  return rank->started > 0 || (times->aim > 0 && rank->waiting > 0);
+  return rank->started > 0 || (times->target_time > 0 && rank->waiting > 0);
 }
 
 /* Decides whether a new call of FLOW is refused, as REFUSAL. */
 static bool
-is_refused (fr_admission_t *admission, const flow_t *flow, const fr_times_t *times,
+is_refused (fr_admission_t *admission, const flow_t *flow, const fr_call_times_t *times,
             fr_refusal_t *refusal)
 {
   const rank_t *rank = flow->rank;
@@ -283,19 +283,19 @@
     return true;
   if (admission->policy == FR_POLICY_SHARES && can_estimate (rank, times))
     {
-      double wait = fr_estimate_wait (admission, flow, times->again);
+      double wait = fr_estimate_wait (admission, flow, times->is_caller_retry);
       double time = wait + rank->service;
 
       if (time > (double)(deadline - now))
         return true;
       *refusal = FR_REFUSED_FULL;
-      if (times->aim > 0)
-        return wait > 0 && misses_aim (rank, now + (fb_time_t)wait, times->aim)
+      if (times->target_time > 0)
+        return wait > 0 && misses_aim (rank, now + (fb_time_t)wait, times->target_time)
                && !fr_is_below_share (admission, rank);
       /* A call that waits longer than its target is worth little; only the guaranteed share is
        * served late rather than not at all. */
-      if (rank->rule.target > 0 && time > (double)rank->rule.target && admission->waiting > 0
-          && !fr_is_below_share (admission, rank))
+      if (rank->rule.latency_target > 0 && time > (double)rank->rule.latency_target
+          && admission->waiting > 0 && !fr_is_below_share (admission, rank))
         return true;
     }
   *refusal = FR_REFUSED_FULL;
@@ -306,14 +306,14 @@
 fr_offer_call (fr_admission_t *admission, uint64_t id, void *call, uint32_t rank,
                fb_str_t customer, double weight, fb_time_t deadline)
 {
-  fr_times_t times = { .deadline = deadline };
+  fr_call_times_t times = { .deadline = deadline };
 
-  fr_offer_timed (admission, id, call, rank, customer, weight, &times);
+  fr_offer_call_with_times (admission, id, call, rank, customer, weight, &times);
 }
 
 void
-fr_offer_timed (fr_admission_t *admission, uint64_t id, void *call, uint32_t rank,
-                fb_str_t customer, double weight, const fr_times_t *times)
+fr_offer_call_with_times (fr_admission_t *admission, uint64_t id, void *call, uint32_t rank,
+                          fb_str_t customer, double weight, const fr_call_times_t *times)
 {
   size_t index = MIN (rank, admission->ranks->len - 1);
   /* The baselines know ranks but not customers. */
@@ -337,8 +337,8 @@
       entry->order = admission->arrivals++;
       entry->arrived = fb_read_clock (admission->clock);
       entry->deadline = times->deadline;
-      entry->aim = times->aim;
-      entry->again = times->again;
+      entry->aim = times->target_time;
+      entry->again = times->is_caller_retry;
       g_hash_table_insert (admission->entries, &entry->id, entry);
       admission->waiting++;
       fr_push_entry (entry);
--- a/packages/call/source/once-record.c
+++ b/packages/call/source/once-record.c
@@ -161,7 +161,7 @@
 
   *answer = (fb_bytes_t){ NULL, 0 };
   if (!fb_equal_name (&ticket->node, &once->node) || ticket->start_id != once->start_id)
-    return FR_ONCE_FOREIGN;
+    return FR_ONCE_OTHER_PROCESS;
   nonce = compute_nonce (once, ticket->serial);
   if (ticket->serial == 0 || ticket->serial >= once->next_serial
       || sodium_memcmp (&nonce, &ticket->nonce, sizeof nonce) != 0)
@@ -249,13 +249,13 @@
 }
 
 size_t
-fr_count_once (const fr_once_t *once)
+fr_count_once_records (const fr_once_t *once)
 {
   return g_hash_table_size (once->records);
 }
 
 size_t
-fr_size_once (const fr_once_t *once)
+fr_get_once_bytes (const fr_once_t *once)
 {
   return once->bytes;
 }
--- a/packages/call/source/retry-budget.c
+++ b/packages/call/source/retry-budget.c
@@ -58,13 +58,13 @@
 }
 
 void
-fr_earn_retry (fr_retry_budget_t *budget, fb_str_t service)
+fr_deposit_retry (fr_retry_budget_t *budget, fb_str_t service)
 {
   fr_add_window (find_window (budget, service), fb_read_clock (budget->clock), 1, 0);
 }
 
 bool
-fr_take_retry (fr_retry_budget_t *budget, fb_str_t service, uint32_t rank)
+fr_withdraw_retry (fr_retry_budget_t *budget, fb_str_t service, uint32_t rank)
 {
   fr_window_t *window = find_window (budget, service);
   fb_time_t now = fb_read_clock (budget->clock);
@@ -84,7 +84,7 @@
 }
 
 bool
-fr_may_retry (fw_outcome_t outcome, bool repeatable, bool has_ticket)
+fr_is_retry_safe (fw_outcome_t outcome, bool repeatable, bool has_ticket)
 {
   /* By outcome: without a ticket on a route that is not repeatable, and on one that is. A call
    * with a ticket belongs to one node and is never made again elsewhere. */
--- a/packages/call/source/route-near.c
+++ b/packages/call/source/route-near.c
@@ -23,8 +23,8 @@
 #define FLIGHT_PART 0.05
 
 void
-fr_report_wait (fr_picker_t *picker, const fb_name_t *name, uint32_t rank, fb_time_t service,
-                fb_time_t wait)
+fr_report_times (fr_picker_t *picker, const fb_name_t *name, uint32_t rank, fb_time_t service,
+                 fb_time_t wait)
 {
   instance_t *instance = g_hash_table_lookup (picker->instances, name->data);
   traffic_t *traffic;
--- a/packages/call/source/route-pick.c
+++ b/packages/call/source/route-pick.c
@@ -270,7 +270,7 @@
     {
       instance_t *other = candidates->instances[i];
 
-      if (picker->policy == FR_PICK_LEAST
+      if (picker->policy == FR_PICK_LEAST_IN_FLIGHT
               ? other->in_flight < best->in_flight
               : fb_weigh_rendezvous (key, fb_get_name (&other->member.id))
                     > fb_weigh_rendezvous (key, fb_get_name (&best->member.id)))
@@ -293,7 +293,7 @@
   instance->ranks[limit_rank (rank)].in_flight++;
 }
 
-/* Collects the candidates of FR_PICK_NEAR, which weighs distance itself. */
+/* Collects the candidates of FR_PICK_LOCALITY, which weighs distance itself. */
 static void
 find_all (const fr_picker_t *picker, const service_t *service, const fb_name_t *excluded,
           size_t excluded_count, candidates_t *candidates)
@@ -312,7 +312,7 @@
   candidates_t candidates;
   instance_t *instance;
 
-  if (picker->policy != FR_PICK_NEAR)
+  if (picker->policy != FR_PICK_LOCALITY)
     return fr_pick_ranked (picker, service_name, rank, FB_LITERAL (""), excluded,
                            excluded_count, picked);
   if (service == NULL)
@@ -342,7 +342,7 @@
   fr_find_candidates (picker, service, excluded, excluded_count, &candidates);
   if (candidates.count == 0)
     return false;
-  if (picker->policy == FR_PICK_TWO)
+  if (picker->policy == FR_PICK_TWO_CHOICES)
     instance = pick_two (picker, &candidates, limit_rank (rank), fb_read_clock (picker->clock));
   else
     instance = pick_plain (picker, service, &candidates, key);
@@ -390,7 +390,7 @@
       traffic->in_flight--;
       instance->in_flight--;
     }
-  if (result == FR_RESULT_GOOD || result == FR_RESULT_FAILED)
+  if (result == FR_RESULT_ANSWERED || result == FR_RESULT_FAILED)
     {
       fr_refresh_subset (picker, instance->service);
       fr_sample_latency (instance, limit_rank (rank), latency, result == FR_RESULT_FAILED, now);
@@ -398,7 +398,7 @@
     }
   if (result == FR_RESULT_UNREACHABLE)
     fr_avoid_instance (instance, now);
-  if (result == FR_RESULT_GOOD || result == FR_RESULT_REFUSED)
+  if (result == FR_RESULT_ANSWERED || result == FR_RESULT_REFUSED)
     {
       instance->load = load;
       instance->load_time = now;
--- a/packages/call/tests/fixture-entry.c
+++ b/packages/call/tests/fixture-entry.c
@@ -151,7 +151,7 @@
   g_strlcpy (attempt->ticket, request->ticket, TEXT_MAX);
   attempt->deadline = fb_read_clock (world->clock)
                       + (fb_time_t)g_rand_int_range (world->random, 20, 500) * FB_MILLISECOND;
-  fr_earn_retry (node->budget, service);
+  fr_deposit_retry (node->budget, service);
   send_attempt (node, attempt);
 }
 
@@ -171,7 +171,7 @@
 report_attempt (node_t *node, const attempt_t *attempt, fw_outcome_t outcome, uint32_t load)
 {
   static const fr_result_t results[] = {
-    [FW_ANSWERED] = FR_RESULT_GOOD,
+    [FW_ANSWERED] = FR_RESULT_ANSWERED,
     [FW_NOT_RUN] = FR_RESULT_REFUSED,
     [FW_UNKNOWN] = FR_RESULT_FAILED,
     [FW_FAILED] = FR_RESULT_FAILED,
@@ -204,8 +204,8 @@
     }
   if (ticket[0] == '\0' && attempt->tries < ATTEMPTS_MAX
       && fb_read_clock (world->clock) < attempt->deadline
-      && fr_may_retry (outcome, request->repeatable, attempt->has_ticket)
-      && fr_take_retry (node->budget, service, 0))
+      && fr_is_retry_safe (outcome, request->repeatable, attempt->has_ticket)
+      && fr_withdraw_retry (node->budget, service, 0))
     {
       world->totals[TOTAL_RETRIED]++;
       send_attempt (node, attempt);
--- a/packages/call/tests/fixture-service.c
+++ b/packages/call/tests/fixture-service.c
@@ -122,7 +122,7 @@
 static void
 run_fault (world_t *world)
 {
-  static const fr_rank_rule_t rules[RANKS] = { { 0.2 }, { 0.2 }, { 0.6 } };
+  static const fr_rank_options_t rules[RANKS] = { { 0.2 }, { 0.2 }, { 0.6 } };
   uint32_t index = (uint32_t)g_rand_int_range (world->random, 0, NODES);
   node_t *node = &world->nodes[index];
 
@@ -163,8 +163,8 @@
     default:
       /* Running calls keep their slots when these become fewer. */
       node->slots = MAX (node->running, (uint32_t)g_rand_int_range (world->random, 2, 6));
-      fr_set_rules (node->admission, node->slots, rules,
-                    (size_t)g_rand_int_range (world->random, 1, RANKS + 1));
+      fr_configure_admission (node->admission, node->slots, rules,
+                              (size_t)g_rand_int_range (world->random, 1, RANKS + 1));
       break;
     }
 }
--- a/packages/call/tests/fixture-target.c
+++ b/packages/call/tests/fixture-target.c
@@ -8,7 +8,7 @@
 #define RECORDS_MAX 12
 #define BYTES_MAX 100
 
-static const fr_rank_rule_t rules[RANKS] = {
+static const fr_rank_options_t rules[RANKS] = {
   { 0.4, 50 * FB_MILLISECOND, 6 },
   { 0.3, 100 * FB_MILLISECOND, 6 },
   { 0.1, 500 * FB_MILLISECOND, 6 },
@@ -173,7 +173,7 @@
       totals[TOTAL_UNRECORDED]++;
       send_answer (node, call, FW_UNKNOWN, nothing, "");
       break;
-    case FR_ONCE_FOREIGN:
+    case FR_ONCE_OTHER_PROCESS:
       totals[TOTAL_FOREIGN]++;
       send_answer (node, call, FW_UNKNOWN, nothing, "");
       break;
@@ -260,8 +260,8 @@
   node->admission = fr_create_admission (FR_POLICY_SHARES, SLOTS, rules, RANKS, world->clock,
                                          world->counters, &hooks);
   node->once = fr_create_once (&node->id, node->start_id, secret, RECORDS_MAX, BYTES_MAX);
-  node->picker = fr_create_picker (FR_PICK_TWO, &node->id, &zone, g_rand_int (world->random),
-                                   world->clock);
+  node->picker = fr_create_picker (FR_PICK_TWO_CHOICES, &node->id, &zone,
+                                   g_rand_int (world->random), world->clock);
   node->budget = fr_create_retry_budget (world->clock);
   node->throttle = fr_create_throttle (g_rand_int (world->random), world->clock);
   node->attempts = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
--- a/packages/call/tests/test-admission.c
+++ b/packages/call/tests/test-admission.c
@@ -11,7 +11,7 @@
   fr_admission_t *admission;
   fb_clock_t *clock;
   fb_counters_t *counters;
-  fr_rank_rule_t ranks[RANKS_MAX];
+  fr_rank_options_t ranks[RANKS_MAX];
   uint32_t slots;
   size_t rank_count;
   GString *events;
@@ -74,7 +74,8 @@
         fixture->slots = (uint32_t)id;
       else
         fixture->rank_count = id;
-      fr_set_rules (fixture->admission, fixture->slots, fixture->ranks, fixture->rank_count);
+      fr_configure_admission (fixture->admission, fixture->slots, fixture->ranks,
+                              fixture->rank_count);
       break;
     }
 }
@@ -205,7 +206,8 @@
   fixture.slots = test->slots;
   fixture.rank_count = RANKS_MAX;
   for (int i = 0; i < RANKS_MAX; i++)
-    fixture.ranks[i] = (fr_rank_rule_t){ 0, test->target_ms * FB_MILLISECOND, test->queue_max };
+    fixture.ranks[i]
+        = (fr_rank_options_t){ 0, test->target_ms * FB_MILLISECOND, test->queue_max };
   fixture.ranks[0].share = test->share_0;
   fixture.ranks[1].share = test->share_1;
   fixture.ranks[2].share = test->share_2;
@@ -273,7 +275,7 @@
 {
   reentry_t reentry = { 0 };
   const fr_admission_hooks_t hooks = { reenter_start, reenter_refuse, &reentry };
-  const fr_rank_rule_t rule = { 1, 0, 3 };
+  const fr_rank_options_t rule = { 1, 0, 3 };
   fb_clock_t *clock = fb_create_manual_clock (FB_SECOND);
   fb_counters_t *counters = fb_create_counters ();
 
@@ -298,7 +300,7 @@
     {
       fixture_t fixture = { .events = g_string_new ("") };
       const fr_admission_hooks_t hooks = { on_start, on_refuse, &fixture };
-      const fr_rank_rule_t rule = { 1, 0, 0 };
+      const fr_rank_options_t rule = { 1, 0, 0 };
 
       fixture.clock = fb_create_manual_clock (0);
       fixture.admission = fr_create_admission (FR_POLICY_SHARES, 1, &rule, 1, fixture.clock,
--- a/packages/call/tests/test-once.c
+++ b/packages/call/tests/test-once.c
@@ -162,8 +162,8 @@
   issue (restarted);
   issue (neighbour);
   assert_state (twin, &ticket, FR_ONCE_INVALID, "");
-  assert_state (restarted, &ticket, FR_ONCE_FOREIGN, "");
-  assert_state (neighbour, &ticket, FR_ONCE_FOREIGN, "");
+  assert_state (restarted, &ticket, FR_ONCE_OTHER_PROCESS, "");
+  assert_state (neighbour, &ticket, FR_ONCE_OTHER_PROCESS, "");
   forged.nonce ^= 1;
   assert_state (once, &forged, FR_ONCE_INVALID, "");
   forged = ticket;
@@ -196,16 +196,16 @@
   assert_state (once, &late, FR_ONCE_RUN, "");
   first = run_ticket (once, "1234");
   second = run_ticket (once, "5678");
-  g_assert_cmpuint (fr_size_once (once), ==, 8);
+  g_assert_cmpuint (fr_get_once_bytes (once), ==, 8);
   fr_end_once (once, &late, wrap ("9012"));
-  g_assert_cmpuint (fr_size_once (once), ==, 8);
+  g_assert_cmpuint (fr_get_once_bytes (once), ==, 8);
   assert_state (once, &first, FR_ONCE_UNKNOWN, "");
   assert_state (once, &second, FR_ONCE_ANSWERED, "5678");
   assert_state (once, &late, FR_ONCE_ANSWERED, "9012");
   large = run_ticket (once, "12345678901");
   assert_state (once, &large, FR_ONCE_UNKNOWN, "");
   assert_state (once, &second, FR_ONCE_ANSWERED, "5678");
-  g_assert_cmpuint (fr_count_once (once), ==, 4);
+  g_assert_cmpuint (fr_count_once_records (once), ==, 4);
   fr_destroy_once (once);
 }
 
@@ -226,7 +226,7 @@
       fr_ticket_t ticket = run_ticket (once, "2");
 
       assert_state (once, &ticket, FR_ONCE_ANSWERED, "2");
-      g_assert_cmpuint (fr_count_once (once), <=, 3);
+      g_assert_cmpuint (fr_count_once_records (once), <=, 3);
     }
   assert_state (once, &first, FR_ONCE_UNKNOWN, "");
   assert_state (once, &unused, FR_ONCE_UNKNOWN, "");
@@ -247,7 +247,7 @@
   assert_state (once, &tickets[2], FR_ONCE_RUN, "");
   assert_state (once, &tickets[0], FR_ONCE_UNKNOWN, "");
   assert_state (once, &tickets[1], FR_ONCE_RUNNING, "");
-  g_assert_cmpuint (fr_count_once (once), ==, 2);
+  g_assert_cmpuint (fr_count_once_records (once), ==, 2);
   /* The record of ticket 1 makes room and is no reason to run it again. */
   fr_end_once (once, &tickets[1], wrap ("1"));
   assert_state (once, &tickets[0], FR_ONCE_RUN, "");
--- a/packages/call/tests/test-picker.c
+++ b/packages/call/tests/test-picker.c
@@ -89,7 +89,7 @@
       number = (guint)g_ascii_strtoull (picked.data + 5, NULL, 10);
       g_assert_cmpuint (number, <, size);
       counts[number]++;
-      fr_report_ranked (fixture->picker, &picked, rank, FR_RESULT_LOST, 0, 0);
+      fr_report_ranked (fixture->picker, &picked, rank, FR_RESULT_CANCELLED, 0, 0);
     }
 }
 
@@ -145,7 +145,7 @@
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      fixture_t fixture = create_fixture (FR_PICK_TWO);
+      fixture_t fixture = create_fixture (FR_PICK_TWO_CHOICES);
       int counts[4];
 
       add_instances (&fixture, 0, cases[i].local, 0);
@@ -166,7 +166,7 @@
 static void
 test_states (void)
 {
-  fixture_t fixture = create_fixture (FR_PICK_TWO);
+  fixture_t fixture = create_fixture (FR_PICK_TWO_CHOICES);
   fb_name_t excluded = make_id (3);
   fb_name_t picked;
   int counts[4];
@@ -184,8 +184,8 @@
   /* It has gone and its call ends late. */
   g_assert_cmpuint (g_hash_table_size (fixture.picker->instances), ==, 2);
   picked = make_id (2);
-  fr_report_result (fixture.picker, &picked, FR_RESULT_GOOD, FB_MILLISECOND, 0);
-  fr_report_result (fixture.picker, &picked, FR_RESULT_GOOD, FB_MILLISECOND, 0);
+  fr_report_result (fixture.picker, &picked, FR_RESULT_ANSWERED, FB_MILLISECOND, 0);
+  fr_report_result (fixture.picker, &picked, FR_RESULT_ANSWERED, FB_MILLISECOND, 0);
   g_assert_cmpuint (g_hash_table_size (fixture.picker->instances), ==, 1);
   g_assert_cmpuint (fr_count_instances (fixture.picker, service), ==, 1);
   destroy_fixture (&fixture);
@@ -195,7 +195,7 @@
 static void
 test_return (void)
 {
-  fixture_t fixture = create_fixture (FR_PICK_LEAST);
+  fixture_t fixture = create_fixture (FR_PICK_LEAST_IN_FLIGHT);
   fb_name_t first;
   fb_name_t picked;
 
@@ -205,7 +205,7 @@
     update (&fixture, first.data[7] - '0', 0, 0, i == 0 ? FW_DEAD : FW_ALIVE);
   g_assert_true (fr_pick_backend (fixture.picker, service, service, NULL, 0, &picked));
   g_assert_cmpstr (picked.data, !=, first.data);
-  fr_report_result (fixture.picker, &first, FR_RESULT_LOST, 0, 0);
+  fr_report_result (fixture.picker, &first, FR_RESULT_CANCELLED, 0, 0);
   g_assert_true (fr_pick_backend (fixture.picker, service, service, NULL, 0, &picked));
   g_assert_cmpstr (picked.data, ==, first.data);
   destroy_fixture (&fixture);
@@ -229,7 +229,7 @@
     { "four", 6, 1, 4, FR_RESULT_FAILED, 0 },
     { "five", 6, 1, 5, FR_RESULT_FAILED, 1 },
     { "refused", 6, 1, 50, FR_RESULT_REFUSED, 0 },
-    { "lost", 6, 1, 50, FR_RESULT_LOST, 0 },
+    { "lost", 6, 1, 50, FR_RESULT_CANCELLED, 0 },
     { "third-of-6", 6, 6, 50, FR_RESULT_FAILED, 2 },
     { "third-of-5", 5, 5, 50, FR_RESULT_FAILED, 1 },
     { "third-of-4", 4, 4, 50, FR_RESULT_FAILED, 1 },
@@ -239,7 +239,7 @@
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      fixture_t fixture = create_fixture (FR_PICK_TWO);
+      fixture_t fixture = create_fixture (FR_PICK_TWO_CHOICES);
 
       add_instances (&fixture, 0, cases[i].instances, 0);
       for (int j = 0; j < cases[i].failing; j++)
@@ -256,12 +256,12 @@
 static void
 test_ejection_end (void)
 {
-  fixture_t fixture = create_fixture (FR_PICK_TWO);
+  fixture_t fixture = create_fixture (FR_PICK_TWO_CHOICES);
   int counts[3];
 
   add_instances (&fixture, 0, 3, 0);
   for (int i = 0; i < 20; i++)
-    report (&fixture, 0, i % 5 == 4 ? FR_RESULT_GOOD : FR_RESULT_FAILED, FB_MILLISECOND, 0);
+    report (&fixture, 0, i % 5 == 4 ? FR_RESULT_ANSWERED : FR_RESULT_FAILED, FB_MILLISECOND, 0);
   g_assert_cmpuint (fr_count_ejected (fixture.picker, service), ==, 0);
   for (int i = 0; i < 5; i++)
     report (&fixture, 0, FR_RESULT_FAILED, FB_MILLISECOND, 0);
@@ -273,7 +273,7 @@
   fb_advance_clock (fixture.clock, 9 * FB_SECOND);
   g_assert_cmpuint (fr_count_ejected (fixture.picker, service), ==, 1);
   fb_advance_clock (fixture.clock, 2 * FB_SECOND);
-  report (&fixture, 0, FR_RESULT_GOOD, FB_MILLISECOND, 0);
+  report (&fixture, 0, FR_RESULT_ANSWERED, FB_MILLISECOND, 0);
   report (&fixture, 0, FR_RESULT_FAILED, FB_MILLISECOND, 0);
   g_assert_cmpuint (fr_count_ejected (fixture.picker, service), ==, 0);
   destroy_fixture (&fixture);
@@ -283,7 +283,7 @@
 static void
 test_slow_start (void)
 {
-  fixture_t fixture = create_fixture (FR_PICK_TWO);
+  fixture_t fixture = create_fixture (FR_PICK_TWO_CHOICES);
   int counts[4];
 
   add_instances (&fixture, 0, 3, 0);
@@ -302,20 +302,20 @@
 static void
 test_score (void)
 {
-  fixture_t fixture = create_fixture (FR_PICK_TWO);
+  fixture_t fixture = create_fixture (FR_PICK_TWO_CHOICES);
   fb_name_t id = make_id (0);
   int counts[2];
 
   add_instances (&fixture, 0, 2, 0);
   for (int i = 0; i < 100; i++)
     {
-      report (&fixture, 0, FR_RESULT_GOOD, 20 * FB_MILLISECOND, 0);
-      report (&fixture, 1, FR_RESULT_GOOD, 10 * FB_MILLISECOND, 0);
+      report (&fixture, 0, FR_RESULT_ANSWERED, 20 * FB_MILLISECOND, 0);
+      report (&fixture, 1, FR_RESULT_ANSWERED, 10 * FB_MILLISECOND, 0);
     }
   count_picks (&fixture, 0, counts, 2);
   g_assert_cmpint (counts[0], ==, 0);
-  report (&fixture, 1, FR_RESULT_GOOD, 10 * FB_MILLISECOND, 4000);
-  report (&fixture, 0, FR_RESULT_GOOD, 20 * FB_MILLISECOND, 0);
+  report (&fixture, 1, FR_RESULT_ANSWERED, 10 * FB_MILLISECOND, 4000);
+  report (&fixture, 0, FR_RESULT_ANSWERED, 20 * FB_MILLISECOND, 0);
   count_picks (&fixture, 0, counts, 2);
   g_assert_cmpint (counts[1], ==, 0);
   fb_advance_clock (fixture.clock, 60 * FB_SECOND);
@@ -325,11 +325,11 @@
   g_assert_cmpint (counts[0], ==, 0);
   count_picks (&fixture, 1, counts, 2);
   g_assert_cmpint (counts[0], >, PICKS / 5);
-  fr_report_ranked (fixture.picker, &id, 2, FR_RESULT_LOST, 0, 0);
+  fr_report_ranked (fixture.picker, &id, 2, FR_RESULT_CANCELLED, 0, 0);
   for (int i = 0; i < 40; i++)
     {
       report (&fixture, 0, FR_RESULT_FAILED, FB_MICROSECOND, 0);
-      report (&fixture, 1, FR_RESULT_GOOD, 15 * FB_MILLISECOND, 0);
+      report (&fixture, 1, FR_RESULT_ANSWERED, 15 * FB_MILLISECOND, 0);
     }
   count_picks (&fixture, 0, counts, 2);
   g_assert_cmpint (counts[0], ==, 0);
@@ -382,14 +382,14 @@
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      fixture_t fixture = create_fixture (FR_PICK_TWO);
+      fixture_t fixture = create_fixture (FR_PICK_TWO_CHOICES);
       GString *order = g_string_new ("");
 
       add_instances (&fixture, 0, 2, 0);
       add_instances (&fixture, 2, 1, 1);
-      report (&fixture, 0, FR_RESULT_GOOD, 9 * FB_MILLISECOND, 0);
-      report (&fixture, 1, FR_RESULT_GOOD, FB_MILLISECOND, 0);
-      report (&fixture, 2, FR_RESULT_GOOD, 2 * FB_MILLISECOND, 0);
+      report (&fixture, 0, FR_RESULT_ANSWERED, 9 * FB_MILLISECOND, 0);
+      report (&fixture, 1, FR_RESULT_ANSWERED, FB_MILLISECOND, 0);
+      report (&fixture, 2, FR_RESULT_ANSWERED, 2 * FB_MILLISECOND, 0);
       for (int j = 0; j < 20 && cases[i].ejected >= 0; j++)
         report (&fixture, cases[i].ejected, FR_RESULT_FAILED, FB_MILLISECOND, 0);
       for (int visit = 0; visit < 2; visit++)
--- a/packages/call/tests/test-retry.c
+++ b/packages/call/tests/test-retry.c
@@ -27,8 +27,9 @@
   };
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
-    g_assert_cmpint (fr_may_retry (cases[i].outcome, cases[i].repeatable, cases[i].has_ticket),
-                     ==, cases[i].allowed);
+    g_assert_cmpint (
+        fr_is_retry_safe (cases[i].outcome, cases[i].repeatable, cases[i].has_ticket), ==,
+        cases[i].allowed);
 }
 
 static int
@@ -36,7 +37,7 @@
 {
   int taken = 0;
 
-  while (taken < 100000 && fr_take_retry (budget, service, rank))
+  while (taken < 100000 && fr_withdraw_retry (budget, service, rank))
     taken++;
   return taken;
 }
@@ -63,9 +64,9 @@
   fb_advance_clock (clock, 10 * FB_SECOND);
   g_assert_cmpint (take_all (budget), ==, 10);
   for (int i = 0; i < 1000; i++)
-    fr_earn_retry (budget, service);
+    fr_deposit_retry (budget, service);
   g_assert_cmpint (take_all (budget), ==, 100);
-  g_assert_true (fr_take_retry (budget, FB_LITERAL ("other"), 0));
+  g_assert_true (fr_withdraw_retry (budget, FB_LITERAL ("other"), 0));
   fb_advance_clock (clock, 9 * FB_SECOND);
   g_assert_cmpint (take_all (budget), ==, 0);
   fb_advance_clock (clock, FB_SECOND);
@@ -96,7 +97,7 @@
 
       fr_set_retry_allowance (budget, 0.2, 0);
       for (int j = 0; j < 500; j++)
-        fr_earn_retry (budget, service);
+        fr_deposit_retry (budget, service);
       for (int j = 0; j < cases[i].charged; j++)
         fr_charge_retry (budget, service);
       g_assert_cmpint (take_ranked (budget, cases[i].rank), ==, cases[i].taken);
--- a/packages/call/tests/test-split.c
+++ b/packages/call/tests/test-split.c
@@ -117,7 +117,7 @@
       fb_name_t self = fb_make_name ("entry");
       fb_name_t zone = fb_make_name ("zone-a");
       fw_member_t own = { .id = self, .zone = zone, .region = fb_make_name ("region") };
-      fr_picker_t *picker = fr_create_picker (FR_PICK_NEAR, &self, &zone, 1, clock);
+      fr_picker_t *picker = fr_create_picker (FR_PICK_LOCALITY, &self, &zone, 1, clock);
       fb_name_t near = fb_make_name ("near");
       fb_name_t far = fb_make_name ("far");
       fb_name_t picked;
@@ -126,9 +126,9 @@
       add_instance (picker, "near", "zone-a");
       add_instance (picker, "far", "zone-b");
       fb_advance_clock (clock, 60 * FB_SECOND);
-      fr_report_wait (picker, &near, 0, 60 * FB_MILLISECOND,
-                      cases[i].near_wait_ms * FB_MILLISECOND);
-      fr_report_wait (picker, &far, 0, 60 * FB_MILLISECOND, 0);
+      fr_report_times (picker, &near, 0, 60 * FB_MILLISECOND,
+                       cases[i].near_wait_ms * FB_MILLISECOND);
+      fr_report_times (picker, &far, 0, 60 * FB_MILLISECOND, 0);
       if (cases[i].unreachable)
         fr_report_ranked (picker, &near, 0, FR_RESULT_UNREACHABLE, 0, 0);
       g_assert_true (
@@ -165,7 +165,7 @@
       fb_name_t self = fb_make_name ("entry");
       fb_name_t zone = fb_make_name ("zone-a");
       fw_member_t own = { .id = self, .zone = zone, .region = fb_make_name ("region") };
-      fr_picker_t *picker = fr_create_picker (FR_PICK_NEAR, &self, &zone, 1, clock);
+      fr_picker_t *picker = fr_create_picker (FR_PICK_LOCALITY, &self, &zone, 1, clock);
       fb_name_t near = fb_make_name ("near");
       fb_name_t far = fb_make_name ("far");
       fb_name_t picked = { 0 };
@@ -175,9 +175,9 @@
         add_instance (picker, "near", "zone-a");
       add_instance (picker, "far", "zone-b");
       fb_advance_clock (clock, 60 * FB_SECOND);
-      fr_report_wait (picker, &near, 0, 60 * FB_MILLISECOND, FB_SECOND);
-      fr_report_wait (picker, &far, 0, 60 * FB_MILLISECOND,
-                      cases[i].far_wait_ms * FB_MILLISECOND);
+      fr_report_times (picker, &near, 0, 60 * FB_MILLISECOND, FB_SECOND);
+      fr_report_times (picker, &far, 0, 60 * FB_MILLISECOND,
+                       cases[i].far_wait_ms * FB_MILLISECOND);
       g_assert_cmpint (fr_pick_target (picker, service, 0, 200 * FB_MILLISECOND, &near,
                                        cases[i].near_tried, &picked),
                        ==, cases[i].picked != NULL);
--- a/packages/call/tests/test-timed.c
+++ b/packages/call/tests/test-timed.c
@@ -30,10 +30,10 @@
 offer_ranked (fixture_t *fixture, int number, uint32_t rank, int target_ms, bool again)
 {
   fb_time_t now = fb_read_clock (fixture->clock);
-  fr_times_t times = { now + FB_SECOND, now + target_ms * FB_MILLISECOND, again };
+  fr_call_times_t times = { now + FB_SECOND, now + target_ms * FB_MILLISECOND, again };
 
-  fr_offer_timed (fixture->admission, (uint64_t)number, GINT_TO_POINTER (number), rank,
-                  FB_LITERAL ("c"), 1, &times);
+  fr_offer_call_with_times (fixture->admission, (uint64_t)number, GINT_TO_POINTER (number),
+                            rank, FB_LITERAL ("c"), 1, &times);
 }
 
 static void
@@ -47,8 +47,8 @@
 static void
 set_up (fixture_t *fixture)
 {
-  static const fr_rank_rule_t rules[RANKS]
-      = { { .target = FB_SECOND }, { .target = FB_SECOND } };
+  static const fr_rank_options_t rules[RANKS]
+      = { { .latency_target = FB_SECOND }, { .latency_target = FB_SECOND } };
   fr_admission_hooks_t hooks = { note_start, note_refusal, fixture };
 
   fixture->clock = fb_create_manual_clock (100 * FB_SECOND);
--- a/packages/node/source/node-backend.c
+++ b/packages/node/source/node-backend.c
@@ -77,8 +77,8 @@
 
   answer->kind = FW_ANSWER;
   answer->load = fr_get_load (backend->admission);
-  answer->wait_us
-      = (uint64_t)(fr_get_wait (backend->admission, find_rank (served)) / FB_MICROSECOND);
+  answer->wait_us = (uint64_t)(fr_get_expected_wait (backend->admission, find_rank (served))
+                               / FB_MICROSECOND);
   if (answer->outcome != FW_ANSWERED)
     log_served (served, answer);
   if (served->answered)
@@ -253,7 +253,7 @@
 static void
 update_rules (fn_backend_t *backend, fc_snapshot_t *snapshot)
 {
-  fr_rank_rule_t rules[FC_RANKS_MAX];
+  fr_rank_options_t rules[FC_RANKS_MAX];
   const fc_settings_t *settings = fn_get_settings (backend->kernel);
   const fc_service_t *service
       = fc_find_service (snapshot, fb_get_name (&settings->service), NULL);
@@ -266,11 +266,12 @@
   for (size_t i = 0; i < count; i++)
     {
       const fc_rank_t *rank = fc_get_rank (snapshot, i);
-      rules[i] = (fr_rank_rule_t){ .share = rank->share,
-                                   .target = rank->target_ms * FB_MILLISECOND };
+      rules[i] = (fr_rank_options_t){ .share = rank->share,
+                                      .latency_target = rank->target_ms * FB_MILLISECOND };
     }
-  fr_set_rules (backend->admission,
-                backend->local.slots > 0 ? backend->local.slots : service->slots, rules, count);
+  fr_configure_admission (backend->admission,
+                          backend->local.slots > 0 ? backend->local.slots : service->slots,
+                          rules, count);
 }
 
 /* Cancels running calls whose deadline has passed; those with a ticket go on, so that their
@@ -370,14 +371,14 @@
   fn_backend_t *backend = served->backend;
   fc_snapshot_t *snapshot
       = fn_get_snapshot (fk_find_service (backend->kernel, FN_DISTRIBUTION));
-  fr_times_t times = { served->deadline, served->aim, served->call.is_caller_retry };
+  fr_call_times_t times = { served->deadline, served->aim, served->call.is_caller_retry };
 
   if (served->has_ticket && !fn_begin_ticket (served))
     return;
   update_rules (backend, snapshot);
-  fr_offer_timed (backend->admission, served->handle, served, find_rank (served),
-                  served->call.customer, fc_weigh_customer (snapshot, served->call.customer),
-                  &times);
+  fr_offer_call_with_times (backend->admission, served->handle, served, find_rank (served),
+                            served->call.customer,
+                            fc_weigh_customer (snapshot, served->call.customer), &times);
 }
 
 static fb_status_t
@@ -434,7 +435,7 @@
 fn_register_backend (fk_kernel_t *kernel)
 {
   static const fk_service_t vtable = { start_backend, stop_backend, destroy_backend };
-  static const fr_rank_rule_t rule = { .share = 0, .target = FB_SECOND };
+  static const fr_rank_options_t rule = { .share = 0, .latency_target = FB_SECOND };
   fn_backend_t *backend = g_new0 (fn_backend_t, 1);
   fb_counters_t *counters = fk_get_counters (kernel);
   fr_admission_hooks_t hooks = { start_call, refuse_call, backend };
--- a/packages/node/source/node-entry-attempt.c
+++ b/packages/node/source/node-entry-attempt.c
@@ -51,9 +51,9 @@
   if (answer->outcome == FW_NOT_RUN && answer->retry_elsewhere)
     return FR_RESULT_UNREACHABLE;
   if (answer->outcome == FW_NOT_RUN)
-    return answer->status == 428 ? FR_RESULT_GOOD : FR_RESULT_REFUSED;
+    return answer->status == 428 ? FR_RESULT_ANSWERED : FR_RESULT_REFUSED;
   if (answer->outcome == FW_ANSWERED && answer->status < 500)
-    return FR_RESULT_GOOD;
+    return FR_RESULT_ANSWERED;
   return FR_RESULT_FAILED;
 }
 
@@ -79,7 +79,7 @@
     return false;
   if (call->attempt_count >= FN_ATTEMPTS_MAX || read_time (call->entry) >= call->deadline)
     return false;
-  if (!fr_may_retry (outcome, route->repeatable, call->ticket.len > 0))
+  if (!fr_is_retry_safe (outcome, route->repeatable, call->ticket.len > 0))
     return false;
   if (elsewhere)
     return call->elsewhere_count++ < FN_ELSEWHERE_RETRIES;
@@ -91,7 +91,7 @@
     }
   return call->attempt_count - call->elsewhere_count - call->full_count <= route->retries
          && (!call->arrived
-             || fr_take_retry (call->entry->budget, get_service_name (call), route->rank));
+             || fr_withdraw_retry (call->entry->budget, get_service_name (call), route->rank));
 }
 
 static void
@@ -101,9 +101,9 @@
   const fb_name_t *tried = close_attempt (call);
   bool accepted = answer->outcome != FW_NOT_RUN || answer->status == 428;
 
-  fr_report_wait (entry->picker, tried, call->route->rank,
-                  (fb_time_t)answer->service_us * FB_MICROSECOND,
-                  (fb_time_t)answer->wait_us * FB_MICROSECOND);
+  fr_report_times (entry->picker, tried, call->route->rank,
+                   (fb_time_t)answer->service_us * FB_MICROSECOND,
+                   (fb_time_t)answer->wait_us * FB_MICROSECOND);
   fr_report_ranked (entry->picker, tried, call->route->rank, judge_answer (answer),
                     read_time (entry) - call->attempt_start, answer->load);
   fr_report_customer (entry->throttle, get_service_name (call), call->route->rank,
@@ -274,7 +274,7 @@
   node = find_node (entry, &picked);
   if (!node)
     {
-      fr_report_ranked (entry->picker, &picked, call->route->rank, FR_RESULT_LOST, 0, 0);
+      fr_report_ranked (entry->picker, &picked, call->route->rank, FR_RESULT_CANCELLED, 0, 0);
       fn_finish_with (call, FW_NOT_RUN, 503, "the chosen instance has left");
       return;
     }
@@ -292,7 +292,7 @@
   if (attempt == 0)
     return;
   tried = close_attempt (call);
-  fr_report_ranked (entry->picker, tried, call->route->rank, FR_RESULT_LOST, 0, 0);
+  fr_report_ranked (entry->picker, tried, call->route->rank, FR_RESULT_CANCELLED, 0, 0);
   if (call->is_local)
     {
       fn_cancel_call (find_backend (entry), handle);
--- a/packages/node/source/node-entry.c
+++ b/packages/node/source/node-entry.c
@@ -419,7 +419,7 @@
   if (call->below_repeat)
     fr_charge_retry (entry->budget, service);
   else
-    fr_earn_retry (entry->budget, service);
+    fr_deposit_retry (entry->budget, service);
   fn_start_attempt (call);
 }
 
@@ -511,7 +511,7 @@
 
   entry->kernel = kernel;
   fb_set_log_limit (fk_get_log (kernel), FN_REQUEST, FN_CALL_LINES);
-  entry->picker = fr_create_picker (FR_PICK_NEAR, &settings->id, &settings->zone,
+  entry->picker = fr_create_picker (FR_PICK_LOCALITY, &settings->id, &settings->zone,
                                     randombytes_random (), fk_get_clock (kernel));
   entry->budget = fr_create_retry_budget (fk_get_clock (kernel));
   entry->splitter = fr_create_splitter (randombytes_random ());
