--- a/bench/bench-dist.c
+++ b/bench/bench-dist.c
@@ -301,7 +301,7 @@
 {
   fb_clock_t *clock = fb_create_manual_clock (FB_SECOND);
   fb_counters_t *counters = fb_create_counters ();
-  fm_options_t options = fm_get_defaults ();
+  fm_options_t options = fm_get_default_options ();
   fm_hooks_t member_hooks = { .send = drop_datagram };
   size_t bytes = 0;
   fd_hooks_t hooks
--- a/bench/bench-member.c
+++ b/bench/bench-member.c
@@ -268,7 +268,7 @@
   if (g_rand_double (world->random) * 10 * world->count < 3.0 * world->down_count)
     deliver (world, FW_PING_REQ, pick_member (world), round,
              &world->members[pick_member (world)].id);
-  for (guint i = 0; i < fm_get_defaults ().gossip_fanout; i++)
+  for (guint i = 0; i < fm_get_default_options ().gossip_fanout; i++)
     if (world->rumours->len > 0
         && g_array_index (world->rumours, rumour_t, 0).since <= fb_read_clock (world->clock))
       deliver (world, FW_GOSSIP, pick_member (world), 0, NULL);
--- a/packages/dist/source/dist-feed.c
+++ b/packages/dist/source/dist-feed.c
@@ -44,7 +44,7 @@
 }
 
 fd_feed_t *
-fd_create_feed (const fd_feed_rules_t *rules, uint32_t seed, const fb_clock_t *clock,
+fd_create_feed (const fd_feed_options_t *rules, uint32_t seed, const fb_clock_t *clock,
                 fb_counters_t *counters, fb_log_t *log, const fd_feed_hooks_t *hooks)
 {
   fd_feed_t *feed = g_new0 (fd_feed_t, 1);
@@ -55,7 +55,7 @@
   feed->hooks = *hooks;
   feed->random = g_rand_new_with_seed (seed);
   feed->id = ((uint64_t)g_rand_int (feed->random) << 32) + 1;
-  feed->listing = fm_create_listing (clock, hooks->changed, hooks->user);
+  feed->listing = fm_create_listing (clock, hooks->endpoint_changed, hooks->user);
   feed->asks = g_ptr_array_new_with_free_func (g_free);
   find_counters (feed, counters);
   return feed;
@@ -84,7 +84,7 @@
     paces = FOLLOWED_PACES;
   else if (feed->relay.len > 0)
     paces = FOLLOWING_PACES;
-  return (fb_time_t)((double)feed->rules.pace * paces);
+  return (fb_time_t)((double)feed->rules.poll_interval * paces);
 }
 
 /* Returns when the next read is due. */
@@ -99,16 +99,16 @@
 static void
 start_read (fd_feed_t *feed, fb_time_t now)
 {
-  fd_read_t read = { .kind = feed->kind, .page = feed->page };
+  fd_read_t read = { .kind = feed->kind, .after_key = feed->page };
 
   switch (feed->kind)
     {
     case FD_READ_CHANGES:
-      read.after = MIN (feed->position, feed->seen);
+      read.after_position = MIN (feed->position, feed->seen);
       read.wait_ms = fd_is_followed (feed, now) ? FOLLOWED_WAIT_MS : WAIT_MS;
       break;
     case FD_READ_ENDPOINTS:
-      read.after = feed->position;
+      read.after_position = feed->position;
       read.wait_ms = 1;
       break;
     case FD_READ_DOCUMENT:
@@ -116,7 +116,7 @@
       break;
     case FD_READ_ALL:
       if (!feed->page)
-        fm_begin_list (feed->listing);
+        fm_begin_full_read (feed->listing);
       break;
     }
   feed->reading = true;
@@ -154,21 +154,21 @@
 }
 
 void
-fd_take_endpoint (fd_feed_t *feed, uint64_t position, const fw_endpoint_t *endpoint)
+fd_add_endpoint (fd_feed_t *feed, uint64_t position, const fw_endpoint_t *endpoint)
 {
   if (!is_overtaken (feed, position))
-    fm_list_endpoint (feed->listing, endpoint);
+    fm_add_endpoint (feed->listing, endpoint);
 }
 
 void
-fd_take_removal (fd_feed_t *feed, uint64_t position, const fb_name_t *id)
+fd_remove_endpoint (fd_feed_t *feed, uint64_t position, const fb_name_t *id)
 {
   if (!is_overtaken (feed, position))
-    fm_unlist_endpoint (feed->listing, id);
+    fm_remove_endpoint (feed->listing, id);
 }
 
 void
-fd_take_document (fd_feed_t *feed, uint64_t position, fb_bytes_t text)
+fd_set_document (fd_feed_t *feed, uint64_t position, fb_bytes_t text)
 {
   if (fd_hold_document (feed, position, text))
     feed->documents_read++;
@@ -225,9 +225,9 @@
 /* Changes made while the pages are read come by the read of changes that follows, which starts
  * at the first page's position. */
 static void
-end_page (fd_feed_t *feed, const fd_end_t *end)
+end_page (fd_feed_t *feed, const fd_read_result_t *end)
 {
-  char *page = end->kind == FD_END_PAGE ? g_strdup (end->page) : NULL;
+  char *page = end->kind == FD_RESULT_HAS_MORE ? g_strdup (end->last_key) : NULL;
 
   if (!feed->page)
     feed->first = end->position;
@@ -236,7 +236,7 @@
   read_next (feed, FD_READ_ALL);
   if (page)
     return;
-  fm_end_list (feed->listing);
+  fm_end_full_read (feed->listing);
   feed->listed = true;
   feed->position = feed->first;
   feed->seen = feed->first;
@@ -253,7 +253,7 @@
 }
 
 static void
-note_failure (fd_feed_t *feed, const fd_end_t *end)
+note_failure (fd_feed_t *feed, const fd_read_result_t *end)
 {
   uint32_t bound = BACKOFF_MAX_MS;
 
@@ -261,12 +261,13 @@
     bound = MIN (bound, (uint32_t)BACKOFF_MIN_MS << feed->failures);
   if (feed->failures == 0)
     FB_LOG (feed->log, FB_LOG_WARNING, FD_FEED_LOG, "the store is lost",
-            FB_NUMBER ("status", end->status), FB_TEXT ("error", end->error ? end->error : ""),
+            FB_NUMBER ("status", end->http_status),
+            FB_TEXT ("error", end->error ? end->error : ""),
             FB_NUMBER ("position", feed->position),
             FB_NUMBER ("age_ms", fd_get_age (feed) / FB_MILLISECOND));
   feed->failures++;
   fb_add_counter (feed->read_failures, 1);
-  fm_lose_source (feed->listing);
+  fm_mark_source_unavailable (feed->listing);
   feed->read_at = read_time (feed)
                   + g_rand_int_range (feed->random, BACKOFF_MIN_MS / 2, (gint32)bound + 1)
                         * FB_MILLISECOND;
@@ -281,11 +282,11 @@
     FB_LOG (feed->log, FB_LOG_INFO, FD_FEED_LOG, "the store is back",
             FB_NUMBER ("failures", feed->failures));
   feed->failures = 0;
-  fm_regain_source (feed->listing);
+  fm_mark_source_available (feed->listing);
 }
 
 static void
-take_end (fd_feed_t *feed, const fd_end_t *end)
+take_end (fd_feed_t *feed, const fd_read_result_t *end)
 {
   switch (feed->kind)
     {
@@ -305,28 +306,28 @@
 }
 
 void
-fd_end_read (fd_feed_t *feed, const fd_end_t *end)
+fd_end_read (fd_feed_t *feed, const fd_read_result_t *end)
 {
   feed->reading = false;
-  if (end->kind == FD_END_FAILED)
+  if (end->kind == FD_RESULT_FAILED)
     note_failure (feed, end);
   else
     note_success (feed);
-  if (end->kind == FD_END_FORGOTTEN)
+  if (end->kind == FD_RESULT_COMPACTED)
     {
       FB_LOG (feed->log, FB_LOG_INFO, FD_FEED_LOG, "the store has forgotten the history",
               FB_NUMBER ("position", feed->position));
       restart_list (feed);
     }
-  else if (end->kind != FD_END_FAILED)
+  else if (end->kind != FD_RESULT_FAILED)
     take_end (feed, end);
   fd_answer_asks (feed);
   if (feed->listed)
-    feed->hooks.document (feed->hooks.user);
+    feed->hooks.document_changed (feed->hooks.user);
 }
 
 bool
-fd_is_listed (const fd_feed_t *feed)
+fd_is_synced (const fd_feed_t *feed)
 {
   return feed->listed;
 }
--- a/packages/dist/source/feed-relay.c
+++ b/packages/dist/source/feed-relay.c
@@ -39,7 +39,7 @@
 bool
 fd_is_following (const fd_feed_t *feed, fb_time_t now)
 {
-  return feed->relay.len > 0 && now < feed->news_fresh + 2 * feed->rules.pace;
+  return feed->relay.len > 0 && now < feed->news_fresh + 2 * feed->rules.poll_interval;
 }
 
 static bool
@@ -82,7 +82,7 @@
 {
   ranking_t *ranking = user;
   const fw_member_t *member = &endpoint->member;
-  const fd_feed_rules_t *rules = &ranking->feed->rules;
+  const fd_feed_options_t *rules = &ranking->feed->rules;
   uint64_t weight;
   size_t place;
 
@@ -152,7 +152,7 @@
 
   feed->asking = true;
   feed->asked = now;
-  feed->hooks.ask (peer, &ask, feed->hooks.user);
+  feed->hooks.send_request (peer, &ask, feed->hooks.user);
 }
 
 bool
@@ -206,18 +206,18 @@
 take_endpoints (fd_feed_t *feed, const fw_feed_message_t *news)
 {
   if (news->complete)
-    fm_begin_list (feed->listing);
+    fm_begin_full_read (feed->listing);
   for (size_t i = 0; i < news->endpoint_count; i++)
     {
       const fw_endpoint_t *endpoint = &news->endpoints[i];
 
       if (endpoint->member.state == FW_DEAD)
-        fm_unlist_endpoint (feed->listing, &endpoint->member.id);
+        fm_remove_endpoint (feed->listing, &endpoint->member.id);
       else
-        fm_list_endpoint (feed->listing, endpoint);
+        fm_add_endpoint (feed->listing, endpoint);
     }
   if (news->complete)
-    fm_end_list (feed->listing);
+    fm_end_full_read (feed->listing);
 }
 
 /* Takes over the configuration that NEWS tells of, or lets it be read of the store. */
@@ -256,7 +256,7 @@
 static void
 take_news (fd_feed_t *feed, const fw_feed_message_t *news, fb_time_t now)
 {
-  fm_regain_source (feed->listing);
+  fm_mark_source_available (feed->listing);
   feed->failures = 0;
   if (!feed->reading)
     feed->kind = FD_READ_CHANGES;
@@ -268,11 +268,11 @@
   feed->fresh = MAX (feed->fresh, feed->news_fresh);
   take_document (feed, news);
   fb_add_counter (feed->news_taken, 1);
-  feed->hooks.document (feed->hooks.user);
+  feed->hooks.document_changed (feed->hooks.user);
 }
 
 void
-fd_handle_news (fd_feed_t *feed, const fw_feed_message_t *news)
+fd_handle_response (fd_feed_t *feed, const fw_feed_message_t *news)
 {
   fb_time_t now = read_time (feed);
 
@@ -289,7 +289,7 @@
 }
 
 void
-fd_fail_ask (fd_feed_t *feed, const char *reason)
+fd_fail_request (fd_feed_t *feed, const char *reason)
 {
   feed->asking = false;
   leave_relay (feed, reason);
@@ -300,7 +300,7 @@
 can_vouch (const fd_feed_t *feed, fb_time_t now)
 {
   return feed->listed && feed->kind != FD_READ_ALL && feed->failures == 0
-         && fm_is_settled (feed->listing) && now < feed->fresh + 2 * feed->rules.pace;
+         && fm_is_settled (feed->listing) && now < feed->fresh + 2 * feed->rules.poll_interval;
 }
 
 static void
@@ -333,7 +333,7 @@
   if (asked->ask.document_position < news.document_position)
     news.delta = fd_find_delta (feed, asked->ask.document_position);
   fb_add_counter (feed->news_given, 1);
-  feed->hooks.answer (asked->asker, &news, feed->hooks.user);
+  feed->hooks.send_response (asked->asker, &news, feed->hooks.user);
   g_array_free (endpoints, TRUE);
 }
 
@@ -344,7 +344,7 @@
 {
   const fw_feed_message_t *ask = &asked->ask;
 
-  if (feed->position < ask->position || now >= feed->fresh + feed->rules.pace)
+  if (feed->position < ask->position || now >= feed->fresh + feed->rules.poll_interval)
     return false;
   return ask->feed_id != feed->id || ask->sequence != fm_get_sequence (feed->listing)
          || ask->document_position < feed->documents[0].position
@@ -367,13 +367,13 @@
       if (good)
         give_news (feed, asked, now);
       else
-        feed->hooks.answer (asked->asker, &none, feed->hooks.user);
+        feed->hooks.send_response (asked->asker, &none, feed->hooks.user);
       g_ptr_array_remove_index_fast (feed->asks, i - 1);
     }
 }
 
 void
-fd_handle_ask (fd_feed_t *feed, void *asker, const fw_feed_message_t *ask)
+fd_handle_request (fd_feed_t *feed, void *asker, const fw_feed_message_t *ask)
 {
   fd_asked_t *asked = g_new0 (fd_asked_t, 1);
   fb_time_t now = read_time (feed);
@@ -381,12 +381,12 @@
   *asked = (fd_asked_t){ asker, *ask, now };
   asked->ask.endpoints = NULL;
   g_ptr_array_add (feed->asks, asked);
-  feed->asked_until = now + MEMORY_PACES * feed->rules.pace;
+  feed->asked_until = now + MEMORY_PACES * feed->rules.poll_interval;
   fd_answer_asks (feed);
 }
 
 void
-fd_drop_ask (fd_feed_t *feed, void *asker)
+fd_cancel_request (fd_feed_t *feed, void *asker)
 {
   for (guint i = feed->asks->len; i > 0; i--)
     if (((fd_asked_t *)g_ptr_array_index (feed->asks, i - 1))->asker == asker)
--- a/packages/dist/source/feed-state.h
+++ b/packages/dist/source/feed-state.h
@@ -40,7 +40,7 @@
 
 struct fd_feed
 {
-  fd_feed_rules_t rules;
+  fd_feed_options_t rules;
   const fb_clock_t *clock;
   fb_log_t *log;
   fd_feed_hooks_t hooks;
--- a/packages/dist/tests/fixture-bed.c
+++ b/packages/dist/tests/fixture-bed.c
@@ -70,7 +70,7 @@
 {
   bed_t *bed = g_new0 (bed_t, 1);
   fw_member_t self = make_member (99, "zone-0");
-  fm_options_t options = fm_get_defaults ();
+  fm_options_t options = fm_get_default_options ();
   fm_hooks_t member_hooks = { .send = drop_datagram };
   fd_hooks_t hooks
       = { record_message, record_read, record_apply, record_ready, record_refusal, bed };
--- a/packages/dist/tests/fixture-feed.c
+++ b/packages/dist/tests/fixture-feed.c
@@ -127,7 +127,7 @@
     node->asked -= ASK_TIME;
   else if (relay->trouble != FEED_SILENT)
     {
-      fd_handle_ask (relay->feed, node, ask);
+      fd_handle_request (relay->feed, node, ask);
       relay->run_at = 0;
     }
 }
@@ -170,9 +170,9 @@
       if (entry->position <= position)
         continue;
       if (entry->state != FW_DEAD)
-        fd_take_endpoint (node->feed, entry->position, &endpoint);
+        fd_add_endpoint (node->feed, entry->position, &endpoint);
       else if (changes)
-        fd_take_removal (node->feed, entry->position, &endpoint.member.id);
+        fd_remove_endpoint (node->feed, entry->position, &endpoint.member.id);
     }
 }
 
@@ -181,20 +181,20 @@
 {
   const fleet_t *fleet = node->fleet;
 
-  fd_take_document (node->feed, fleet->text_position,
-                    (fb_bytes_t){ (const uint8_t *)fleet->text, strlen (fleet->text) });
+  fd_set_document (node->feed, fleet->text_position,
+                   (fb_bytes_t){ (const uint8_t *)fleet->text, strlen (fleet->text) });
 }
 
 static void
 end_read (node_t *node)
 {
   fleet_t *fleet = node->fleet;
-  fd_end_t end = { .kind = FD_END_WHOLE, .position = fleet->position };
+  fd_read_result_t end = { .kind = FD_RESULT_COMPLETE, .position = fleet->position };
   const fd_read_t *read = &node->read;
 
   node->reading = false;
   if (!fleet->good || node->trouble == FEED_AWAY)
-    end.kind = FD_END_FAILED;
+    end.kind = FD_RESULT_FAILED;
   else if (read->kind == FD_READ_DOCUMENT)
     bring_document (node);
   else if (read->kind == FD_READ_ALL)
@@ -202,12 +202,12 @@
       bring_entries (node, 0, false);
       bring_document (node);
     }
-  else if (read->after < fleet->oldest)
-    end.kind = FD_END_FORGOTTEN;
+  else if (read->after_position < fleet->oldest)
+    end.kind = FD_RESULT_COMPACTED;
   else
     {
-      bring_entries (node, read->after, true);
-      if (read->kind == FD_READ_CHANGES && fleet->text_position > read->after)
+      bring_entries (node, read->after_position, true);
+      if (read->kind == FD_READ_CHANGES && fleet->text_position > read->after_position)
         bring_document (node);
     }
   fd_end_read (node->feed, &end);
@@ -225,14 +225,14 @@
     {
       g_assert_cmpint (fw_decode_feed ((fb_bytes_t){ answer, node->answer_len }, &news), ==,
                        FB_OK);
-      fd_handle_news (node->feed, &news);
+      fd_handle_response (node->feed, &news);
       fw_clear_feed (&news);
       g_free (answer);
     }
   else
     {
-      fd_drop_ask (node->fleet->nodes[node->relay].feed, node);
-      fd_fail_ask (node->feed, "no answer");
+      fd_cancel_request (node->fleet->nodes[node->relay].feed, node);
+      fd_fail_request (node->feed, "no answer");
     }
 }
 
@@ -293,9 +293,9 @@
   for (size_t i = 0; i < count; i++)
     {
       node_t *node = &fleet->nodes[i];
-      fd_feed_rules_t rules = { .address = make_name ("10.0.0.", i),
-                                .zone = make_name ("zone-", i % FEED_ZONES),
-                                .pace = FEED_PACE };
+      fd_feed_options_t rules = { .address = make_name ("10.0.0.", i),
+                                  .zone = make_name ("zone-", i % FEED_ZONES),
+                                  .poll_interval = FEED_PACE };
       fd_feed_hooks_t hooks
           = { start_read, send_ask, take_answer, note_endpoint, ignore_document, node };
 
--- a/packages/dist/tests/test-feed.c
+++ b/packages/dist/tests/test-feed.c
@@ -167,9 +167,9 @@
       fb_clock_t *clock = fb_create_manual_clock (100 * FB_SECOND);
       fb_counters_t *counters = fb_create_counters ();
       fw_member_state_t state = FW_DEAD;
-      fd_feed_rules_t rules = { .address = fb_make_name ("10.0.0.1"),
-                                .zone = fb_make_name ("z"),
-                                .pace = FEED_PACE };
+      fd_feed_options_t rules = { .address = fb_make_name ("10.0.0.1"),
+                                  .zone = fb_make_name ("z"),
+                                  .poll_interval = FEED_PACE };
       fd_feed_hooks_t hooks
           = { skip_read, skip_ask, skip_answer, note_state, skip_document, &state };
       fd_feed_t *feed = fd_create_feed (&rules, 1, clock, counters, NULL, &hooks);
@@ -185,15 +185,15 @@
                                  .endpoints = &there };
 
       fd_run_feed (feed);
-      fd_take_endpoint (feed, 5, &there);
-      fd_end_read (feed, &(fd_end_t){ FD_END_WHOLE, .position = 10 });
+      fd_add_endpoint (feed, 5, &there);
+      fd_end_read (feed, &(fd_read_result_t){ FD_RESULT_COMPLETE, .position = 10 });
       fb_advance_clock (clock, FEED_PACE);
       fd_run_feed (feed);
-      fd_handle_news (feed, &news);
+      fd_handle_response (feed, &news);
       if (cases[i].late > 0)
-        fd_handle_news (feed, &late);
-      fd_take_endpoint (feed, cases[i].entry, &there);
-      fd_end_read (feed, &(fd_end_t){ FD_END_WHOLE, .position = cases[i].entry });
+        fd_handle_response (feed, &late);
+      fd_add_endpoint (feed, cases[i].entry, &there);
+      fd_end_read (feed, &(fd_read_result_t){ FD_RESULT_COMPLETE, .position = cases[i].entry });
       g_assert_cmpint (state, ==, cases[i].state);
       fd_destroy_feed (feed);
       fb_destroy_counters (counters);
--- a/packages/member/include/foxtailrun/member/table.h
+++ b/packages/member/include/foxtailrun/member/table.h
@@ -7,17 +7,17 @@
 #include <foxtailrun/base/version.h>
 #include <foxtailrun/wire/datagram.h>
 
-/* Periods and limits; fm_get_defaults gives the values of the design page. */
+/* Periods and limits; fm_get_default_options gives the values of the design page. */
 typedef struct
 {
-  fb_time_t probe_period;    /* between pings of one member */
-  fb_time_t ack_timeout;     /* before indirect pings */
-  fb_time_t suspect_timeout; /* from suspicion to death */
-  fb_time_t gossip_period;   /* between rounds of urgent updates */
-  fb_time_t dead_retention;  /* how long a dead member is remembered */
-  uint32_t indirect_probes;  /* members asked to ping on behalf */
-  uint32_t gossip_fanout;    /* members an urgent update goes to in each round */
-  uint32_t health_max;       /* largest multiplier of the timeouts */
+  fb_time_t probe_period;         /* between pings of one member */
+  fb_time_t ack_timeout;          /* before indirect pings */
+  fb_time_t suspect_timeout;      /* from suspicion to death */
+  fb_time_t gossip_period;        /* between rounds of urgent updates */
+  fb_time_t dead_retention;       /* how long a dead member is remembered */
+  uint32_t indirect_probes;       /* members asked to ping on behalf */
+  uint32_t gossip_fanout;         /* members an urgent update goes to in each round */
+  uint32_t health_multiplier_max; /* largest multiplier of the timeouts */
 } fm_options_t;
 
 typedef struct
@@ -28,21 +28,21 @@
    * not change the table, except by fm_set_version. May be NULL. */
   void (*changed) (const fw_member_t *member, const fw_member_t *previous, void *user);
   /* SENDER has VERSION in force; called last for each datagram received. May be NULL. */
-  void (*heard) (const fw_member_t *sender, const fb_version_t *version, void *user);
+  void (*summary_received) (const fw_member_t *sender, const fb_version_t *version, void *user);
   /* The member list differs from PEER's for longer than updates take to spread: PEER should be
    * asked for its list, whose pages go to fm_merge_members. Called at most every 10 s; must not
    * change the table. May be NULL. */
   void (*diverged) (const fw_member_t *peer, void *user);
   /* Another node has read in the host list that this host is to leave: the receiver should
    * drain, which ends in fm_announce_leaving. Must not change the table. May be NULL. */
-  void (*told_to_leave) (void *user);
+  void (*leave_requested) (void *user);
   void *user;
 } fm_hooks_t;
 
 typedef struct fm_table fm_table_t;
 
 /* Returns the default options. */
-fm_options_t fm_get_defaults (void);
+fm_options_t fm_get_default_options (void);
 
 /* Creates a table for SELF (state FW_ALIVE); CLOCK and COUNTERS are borrowed, HOOKS is copied,
  * SEED starts the random numbers, NULL OPTIONS stand for the defaults. Destroy with
--- a/packages/member/source/member-datagram.c
+++ b/packages/member/source/member-datagram.c
@@ -133,7 +133,7 @@
     fm_apply_update (table, &datagram.updates[i], FM_FROM_GOSSIP, &told);
   told.repair = compare_lists (table, &datagram);
   reply_to_datagram (table, &datagram, &told);
-  if (table->hooks.heard)
-    table->hooks.heard (&datagram.sender, &datagram.version, table->hooks.user);
+  if (table->hooks.summary_received)
+    table->hooks.summary_received (&datagram.sender, &datagram.version, table->hooks.user);
   return FB_OK;
 }
--- a/packages/member/source/member-listing.c
+++ b/packages/member/source/member-listing.c
@@ -25,7 +25,7 @@
 struct fm_listing
 {
   const fb_clock_t *clock;
-  fm_listed_fn_t changed;
+  fm_endpoint_fn_t changed;
   void *user;
   GHashTable *entries; /* listed_t by id */
   uint64_t sequence;   /* of the last change */
@@ -36,7 +36,7 @@
 };
 
 fm_listing_t *
-fm_create_listing (const fb_clock_t *clock, fm_listed_fn_t changed, void *user)
+fm_create_listing (const fb_clock_t *clock, fm_endpoint_fn_t changed, void *user)
 {
   fm_listing_t *listing = g_new0 (fm_listing_t, 1);
 
@@ -71,7 +71,7 @@
 }
 
 void
-fm_list_endpoint (fm_listing_t *listing, const fw_endpoint_t *endpoint)
+fm_add_endpoint (fm_listing_t *listing, const fw_endpoint_t *endpoint)
 {
   listed_t *entry = g_hash_table_lookup (listing->entries, &endpoint->member.id);
 
@@ -121,7 +121,7 @@
 }
 
 void
-fm_unlist_endpoint (fm_listing_t *listing, const fb_name_t *id)
+fm_remove_endpoint (fm_listing_t *listing, const fb_name_t *id)
 {
   listed_t *entry = g_hash_table_lookup (listing->entries, id);
 
@@ -137,7 +137,7 @@
 }
 
 void
-fm_begin_list (fm_listing_t *listing)
+fm_begin_full_read (fm_listing_t *listing)
 {
   GHashTableIter iter;
   gpointer value;
@@ -148,7 +148,7 @@
 }
 
 void
-fm_end_list (fm_listing_t *listing)
+fm_end_full_read (fm_listing_t *listing)
 {
   GHashTableIter iter;
   gpointer value;
@@ -164,18 +164,18 @@
 }
 
 void
-fm_lose_source (fm_listing_t *listing)
+fm_mark_source_unavailable (fm_listing_t *listing)
 {
   listing->lost = true;
 }
 
 void
-fm_regain_source (fm_listing_t *listing)
+fm_mark_source_available (fm_listing_t *listing)
 {
   if (!listing->lost)
     return;
   listing->lost = false;
-  listing->settled_at = fb_read_clock (listing->clock) + FM_RETURN_TIME;
+  listing->settled_at = fb_read_clock (listing->clock) + FM_RELIST_GRACE;
 }
 
 void
@@ -199,7 +199,7 @@
 }
 
 size_t
-fm_count_listed (const fm_listing_t *listing)
+fm_count_endpoints (const fm_listing_t *listing)
 {
   return g_hash_table_size (listing->entries);
 }
@@ -211,7 +211,7 @@
 }
 
 bool
-fm_visit_changes (const fm_listing_t *listing, uint64_t sequence, fm_listed_fn_t visit,
+fm_visit_changes (const fm_listing_t *listing, uint64_t sequence, fm_endpoint_fn_t visit,
                   void *user)
 {
   GHashTableIter iter;
--- a/packages/member/source/member-probe.c
+++ b/packages/member/source/member-probe.c
@@ -10,7 +10,7 @@
 {
   if (change < 0 && table->health > 0)
     table->health--;
-  if (change > 0 && table->health + 1 < table->options.health_max)
+  if (change > 0 && table->health + 1 < table->options.health_multiplier_max)
     table->health++;
   fb_set_counter (table->counters.health, table->health);
 }
@@ -184,8 +184,9 @@
   relay->target = datagram->target;
   relay->address = datagram->sender.address;
   relay->port = datagram->sender.control_port;
-  relay->expires = fb_read_clock (table->clock)
-                   + table->options.probe_period * (fb_time_t)table->options.health_max;
+  relay->expires
+      = fb_read_clock (table->clock)
+        + table->options.probe_period * (fb_time_t)table->options.health_multiplier_max;
   send_ping (table, target, relay->sequence);
 }
 
--- a/packages/member/source/member-table.c
+++ b/packages/member/source/member-table.c
@@ -104,7 +104,7 @@
 }
 
 fm_options_t
-fm_get_defaults (void)
+fm_get_default_options (void)
 {
   return (fm_options_t){
     .probe_period = FB_SECOND,
@@ -114,7 +114,7 @@
     .dead_retention = 60 * FB_SECOND,
     .indirect_probes = 3,
     .gossip_fanout = 3,
-    .health_max = 4,
+    .health_multiplier_max = 4,
   };
 }
 
@@ -128,7 +128,7 @@
   FB_INVARIANT (self->id.len > 0 && self->state == FW_ALIVE);
   FB_INVARIANT (self->incarnation <= FM_INCARNATION_MAX);
   FB_INVARIANT (hooks->send);
-  table->options = options ? *options : fm_get_defaults ();
+  table->options = options ? *options : fm_get_default_options ();
   table->hooks = *hooks;
   table->clock = clock;
   table->random = g_rand_new_with_seed (seed);
--- a/packages/member/source/member-update.c
+++ b/packages/member/source/member-update.c
@@ -47,8 +47,8 @@
 void
 fm_hear_leaving (fm_table_t *table)
 {
-  if (table->self->member.state == FW_ALIVE && table->hooks.told_to_leave)
-    table->hooks.told_to_leave (table->hooks.user);
+  if (table->self->member.state == FW_ALIVE && table->hooks.leave_requested)
+    table->hooks.leave_requested (table->hooks.user);
 }
 
 void
--- a/packages/member/tests/fixture-fleet.c
+++ b/packages/member/tests/fixture-fleet.c
@@ -218,7 +218,8 @@
       seen_t *seen = &scan.node->seen[i];
       if (!seen->known || scan.present[i])
         continue;
-      if (seen->state != FW_DEAD || now - seen->dead_since < fm_get_defaults ().dead_retention)
+      if (seen->state != FW_DEAD
+          || now - seen->dead_since < fm_get_default_options ().dead_retention)
         fleet_fail (fleet, "node-%02zu forgets node-%02zu too early", index, i);
       seen->known = false;
     }
@@ -268,7 +269,7 @@
   static const char *const zones[] = { "zone-a", "zone-b", "zone-c" };
   fleet_node_t *node = &fleet->nodes[index];
   fb_clock_t *clock = fx_get_clock (fleet->network);
-  fm_options_t options = fm_get_defaults ();
+  fm_options_t options = fm_get_default_options ();
   fm_hooks_t hooks = { handle_send, handle_changed, NULL, handle_diverged, NULL, node };
   fw_member_t self = { .control_port = 7000, .call_port = 7001, .admin_port = 7002 };
 
--- a/packages/member/tests/test-listing.c
+++ b/packages/member/tests/test-listing.c
@@ -28,7 +28,7 @@
                                          .service = fb_make_name ("shop") },
                              .slots = 9 };
 
-  fm_list_endpoint (fixture->listing, &endpoint);
+  fm_add_endpoint (fixture->listing, &endpoint);
 }
 
 static void
@@ -36,7 +36,7 @@
 {
   fb_name_t name = fb_make_name (id);
 
-  fm_unlist_endpoint (fixture->listing, &name);
+  fm_remove_endpoint (fixture->listing, &name);
 }
 
 /* Runs one step: "+a" lists a, "~a" lists it as leaving, "-a" removes it, "(" and ")" surround
@@ -56,16 +56,16 @@
       unlist (fixture, step + 1);
       break;
     case '(':
-      fm_begin_list (fixture->listing);
+      fm_begin_full_read (fixture->listing);
       break;
     case ')':
-      fm_end_list (fixture->listing);
+      fm_end_full_read (fixture->listing);
       break;
     case '!':
-      fm_lose_source (fixture->listing);
+      fm_mark_source_unavailable (fixture->listing);
       break;
     case '?':
-      fm_regain_source (fixture->listing);
+      fm_mark_source_available (fixture->listing);
       break;
     default:
       fb_advance_clock (fixture->clock, (step[0] - '0') * FB_SECOND / 2);
@@ -113,7 +113,7 @@
         run_step (&fixture, steps[j]);
       g_test_message ("%s", cases[i].steps);
       g_assert_cmpstr (fixture.seen->str, ==, cases[i].seen);
-      g_assert_cmpuint (fm_count_listed (fixture.listing), ==, cases[i].count);
+      g_assert_cmpuint (fm_count_endpoints (fixture.listing), ==, cases[i].count);
       g_strfreev (steps);
       g_string_free (fixture.seen, TRUE);
       fm_destroy_listing (fixture.listing);
--- a/packages/node/include/foxtailrun/node/adapter.h
+++ b/packages/node/include/foxtailrun/node/adapter.h
@@ -69,7 +69,7 @@
 fd_feed_t *fn_get_feed (fn_feed_t *feed);
 
 /* Ends the open read of the store. */
-void fn_end_store_read (fn_feed_t *feed, const fd_end_t *end);
+void fn_end_store_read (fn_feed_t *feed, const fd_read_result_t *end);
 
 /* Ends a read of the source: STATUS FB_OK with INDEX and DOCUMENT, FB_NOT_FOUND when nothing is
  * published, FB_TIMEOUT when the wait ended without a change, anything else for a failed read.
--- a/packages/node/source/node-feed.c
+++ b/packages/node/source/node-feed.c
@@ -56,7 +56,7 @@
   uint64_t position;
   fb_bytes_t text = fd_get_document (feed->feed, &position);
 
-  if (!feed->awaited || !fd_is_listed (feed->feed))
+  if (!feed->awaited || !fd_is_synced (feed->feed))
     return;
   if (position > feed->awaited_index)
     {
@@ -135,7 +135,7 @@
 }
 
 void
-fn_end_store_read (fn_feed_t *feed, const fd_end_t *end)
+fn_end_store_read (fn_feed_t *feed, const fd_read_result_t *end)
 {
   fd_end_read (feed->feed, end);
   wake_at (feed, 0);
@@ -154,15 +154,15 @@
   fw_feed_message_t news;
 
   if (response->result != FH_ANSWERED || response->status != 200)
-    fd_fail_ask (feed->feed, response->error ? response->error : "no answer");
+    fd_fail_request (feed->feed, response->error ? response->error : "no answer");
   else if (fw_decode_feed (response->body, &news) != FB_OK)
     {
       fb_add_counter (feed->malformed, 1);
-      fd_fail_ask (feed->feed, "malformed news");
+      fd_fail_request (feed->feed, "malformed news");
     }
   else
     {
-      fd_handle_news (feed->feed, &news);
+      fd_handle_response (feed->feed, &news);
       fw_clear_feed (&news);
     }
   /* The relay's client, which the next run may replace, is still in use here. */
@@ -215,7 +215,7 @@
 {
   fn_feed_t *feed = user;
 
-  fd_drop_ask (feed->feed, request);
+  fd_cancel_request (feed->feed, request);
   fh_respond (request, 499, NULL, 0, (fb_bytes_t){ NULL, 0 });
 }
 
@@ -232,7 +232,7 @@
     }
   fh_watch_cancel (request, drop_ask, feed);
   if (ask.kind == FW_FEED_REQUEST)
-    fd_handle_ask (feed->feed, request, &ask);
+    fd_handle_request (feed->feed, request, &ask);
   else
     drop_ask (request, feed);
   fw_clear_feed (&ask);
@@ -273,8 +273,9 @@
 {
   static const fk_service_t vtable = { start_feed, stop_feed, destroy_feed };
   const fc_settings_t *settings = fn_get_settings (kernel);
-  fd_feed_rules_t rules
-      = { .address = settings->address, .zone = settings->zone, .pace = settings->source_pace };
+  fd_feed_options_t rules = { .address = settings->address,
+                              .zone = settings->zone,
+                              .poll_interval = settings->source_pace };
   fn_feed_t *feed = g_new0 (fn_feed_t, 1);
   fd_feed_hooks_t hooks
       = { read_store, send_ask, answer_ask, change_endpoint, deliver_document, feed };
--- a/packages/node/source/node-membership.c
+++ b/packages/node/source/node-membership.c
@@ -180,12 +180,12 @@
   static const fk_service_t vtable = { start_membership, stop_membership, destroy_membership };
   fn_membership_t *membership = g_new0 (fn_membership_t, 1);
   fw_member_t self = describe_self (fn_get_settings (kernel));
-  fm_options_t options = fm_get_defaults ();
+  fm_options_t options = fm_get_default_options ();
   fm_hooks_t hooks = { .send = send_datagram,
                        .changed = report_change,
-                       .heard = hear_version,
+                       .summary_received = hear_version,
                        .diverged = report_divergence,
-                       .told_to_leave = begin_leaving,
+                       .leave_requested = begin_leaving,
                        .user = membership };
 
   membership->kernel = kernel;
--- a/standins/fleet/fleet-host.c
+++ b/standins/fleet/fleet-host.c
@@ -150,9 +150,10 @@
 {
   sf_host_t *host = &fleet->hosts[index];
   fb_time_t now = fb_read_clock (fleet->clock);
-  fm_options_t options = fm_get_defaults ();
-  fm_hooks_t member_hooks
-      = { .send = send_datagram, .heard = hear_version, .diverged = hear_list, .user = host };
+  fm_options_t options = fm_get_default_options ();
+  fm_hooks_t member_hooks = {
+    .send = send_datagram, .summary_received = hear_version, .diverged = hear_list, .user = host
+  };
   fd_hooks_t hooks
       = { send_control, call_source, apply_snapshot, set_ready, note_refusal, host };
 
