--- a/fuzz/fuzz-document.c
+++ b/fuzz/fuzz-document.c
@@ -46,7 +46,7 @@
     {
       kept = fc_get_document (snapshot);
       FUZZ_CHECK (kept.len == size && memcmp (kept.data, data, size) == 0);
-      FUZZ_CHECK (fc_get_number (snapshot) >= 1);
+      FUZZ_CHECK (fc_get_version_number (snapshot) >= 1);
       check_references (snapshot);
     }
   fc_release_snapshot (snapshot);
--- a/packages/base/include/foxtailrun/base/digest.h
+++ b/packages/base/include/foxtailrun/base/digest.h
@@ -26,7 +26,7 @@
 uint64_t fb_hash_str (fb_str_t str, uint64_t seed);
 
 /* Returns the rendezvous weight of NAME for KEY; the highest weight is the owner. */
-uint64_t fb_weigh_rendezvous (fb_str_t key, fb_str_t name);
+uint64_t fb_get_rendezvous_weight (fb_str_t key, fb_str_t name);
 
 /* Hash and equality of fb_name_t pointers, for GLib's hash tables. */
 unsigned int fb_hash_name_key (const void *name);
--- a/packages/base/include/foxtailrun/base/log.h
+++ b/packages/base/include/foxtailrun/base/log.h
@@ -48,13 +48,13 @@
 void fb_set_log_limit (fb_log_t *log, const char *service, uint32_t lines);
 
 /* A sink that writes to standard output and drops, and counts, what it does not take at once;
- * USER is an fb_output_t. */
+ * USER is an fb_stdout_sink_t. */
 typedef struct
 {
   uint64_t dropped; /* lines since the start */
-} fb_output_t;
+} fb_stdout_sink_t;
 
-void fb_write_output (fb_str_t line, void *user);
+void fb_write_stdout (fb_str_t line, void *user);
 
 /* Writes one line; a NULL LOG drops it. The same service and message is written at most 10
  * times in 10 s, and the next line after that carries the number left out. */
--- a/packages/base/source/digest.c
+++ b/packages/base/source/digest.c
@@ -31,7 +31,7 @@
 }
 
 uint64_t
-fb_weigh_rendezvous (fb_str_t key, fb_str_t name)
+fb_get_rendezvous_weight (fb_str_t key, fb_str_t name)
 {
   return XXH64 (name.data, name.len, XXH64 (key.data, key.len, 0));
 }
--- a/packages/base/source/log.c
+++ b/packages/base/source/log.c
@@ -179,9 +179,9 @@
 }
 
 void
-fb_write_output (fb_str_t line, void *user)
+fb_write_stdout (fb_str_t line, void *user)
 {
-  fb_output_t *output = user;
+  fb_stdout_sink_t *output = user;
   struct pollfd ready = { .fd = STDOUT_FILENO, .events = POLLOUT };
 
   /* A pipe that is ready takes PIPE_BUF bytes at once, which a line stays below. */
--- a/packages/call/source/route-pick.c
+++ b/packages/call/source/route-pick.c
@@ -97,7 +97,7 @@
   instance->member = *member;
   instance->service = add_service (picker, &member->service);
   instance->weight
-      = fb_weigh_rendezvous (fb_get_name (&picker->self), fb_get_name (&member->id));
+      = fb_get_rendezvous_weight (fb_get_name (&picker->self), fb_get_name (&member->id));
   instance->gone = false;
   for (int i = 0; i < FC_RANKS_MAX; i++)
     instance->ranks[i] = (traffic_t){ .in_flight = instance->ranks[i].in_flight };
@@ -272,8 +272,8 @@
 
       if (picker->policy == FR_PICK_LEAST_IN_FLIGHT
               ? other->in_flight < best->in_flight
-              : fb_weigh_rendezvous (key, fb_get_name (&other->member.id))
-                    > fb_weigh_rendezvous (key, fb_get_name (&best->member.id)))
+              : fb_get_rendezvous_weight (key, fb_get_name (&other->member.id))
+                    > fb_get_rendezvous_weight (key, fb_get_name (&best->member.id)))
         best = other;
     }
   return best;
--- a/packages/config/include/foxtailrun/config/schema.h
+++ b/packages/config/include/foxtailrun/config/schema.h
@@ -14,14 +14,14 @@
   FC_TYPE_INTEGER,
   FC_TYPE_NUMBER, /* integer or float */
   FC_TYPE_BOOLEAN,
-  FC_TYPE_REFERENCES, /* array of names of other elements */
-  FC_TYPE_METHODS,    /* array of HTTP methods */
-  FC_TYPE_PARTS,      /* array of "NAME=WEIGHT" with names of other elements */
-  FC_TYPE_HOST,       /* host name with an optional port; may be empty */
-  FC_TYPE_ADDRESS,    /* numeric IP address */
-  FC_TYPE_ENDPOINTS,  /* array of "IP:PORT" */
-  FC_TYPE_CHOICE,     /* one of the strings that ALLOWED lists */
-  FC_TYPE_KEY         /* string of printable ASCII characters without spaces */
+  FC_TYPE_REFERENCES,       /* array of names of other elements */
+  FC_TYPE_METHODS,          /* array of HTTP methods */
+  FC_TYPE_PARTS,            /* array of "NAME=WEIGHT" with names of other elements */
+  FC_TYPE_HOST,             /* host name with an optional port; may be empty */
+  FC_TYPE_ADDRESS,          /* numeric IP address */
+  FC_TYPE_SOCKET_ADDRESSES, /* array of "IP:PORT" */
+  FC_TYPE_CHOICE,           /* one of the strings that ALLOWED lists */
+  FC_TYPE_KEY               /* string of printable ASCII characters without spaces */
 } fc_type_t;
 
 /* One key. */
@@ -30,9 +30,9 @@
   const char *section; /* "" for the top level, otherwise the table's name */
   const char *key;
   fc_type_t type;
-  const char *unit;     /* "" when there is none */
-  const char *fallback; /* default as text; NULL when the key must be given */
-  double min;           /* numbers only */
+  const char *unit;         /* "" when there is none */
+  const char *default_text; /* default as text; NULL when the key must be given */
+  double min;               /* numbers only */
   double max;
   const char *allowed; /* what may stand there, for types without a range of numbers */
   const char *meaning; /* one phrase */
--- a/packages/config/include/foxtailrun/config/settings.h
+++ b/packages/config/include/foxtailrun/config/settings.h
@@ -14,7 +14,7 @@
 {
   fb_name_t address; /* numeric IP */
   uint16_t port;     /* 0 when not set */
-} fc_endpoint_t;
+} fc_socket_address_t;
 
 /* TOML tables and keys: [node] id, zone, region, service; [listen] address, caller_port,
  * call_port, control_port, admin_port, ready_port; [drain] limit_ms; [backend] address, port;
@@ -31,16 +31,16 @@
   uint16_t call_port;
   uint16_t control_port;
   uint16_t admin_port;
-  uint16_t ready_port;   /* HTTP readiness of its own for the platform; 0 for none */
-  fb_time_t source_pace; /* pause between two reads of a list that the platform keeps; 0 when it
-                            keeps none */
-  double retry_ratio;    /* retries for each first attempt, where nodes share an allowance */
-  uint32_t retry_slack;  /* retries in 10 s that all nodes together may make beyond that; 0 when
-                            nodes share no allowance */
-  fb_time_t drain_limit; /* bound on a drain, after which open calls are cut */
-  fc_endpoint_t backend;
-  fc_endpoint_t platform;
-  fc_endpoint_t seeds[FC_SEEDS_MAX];
+  uint16_t ready_port;            /* HTTP readiness of its own for the platform; 0 for none */
+  fb_time_t source_poll_interval; /* pause between two reads of a list that the platform keeps;
+                            0 when it keeps none */
+  double retry_ratio; /* retries for each first attempt, where nodes share an allowance */
+  uint32_t shared_retry_floor; /* retries in 10 s that all nodes together may make beyond that;
+                           0 when nodes share no allowance */
+  fb_time_t drain_timeout;     /* bound on a drain, after which open calls are cut */
+  fc_socket_address_t backend;
+  fc_socket_address_t platform;
+  fc_socket_address_t seeds[FC_SEEDS_MAX];
   size_t seed_count;
   fb_name_t admin_key; /* empty: calls that change something are refused */
   fb_log_level_t log_level;
@@ -52,7 +52,7 @@
                                fc_problems_t *problems);
 
 /* Parses "IP:PORT" or "[IPv6]:PORT". */
-bool fc_parse_endpoint (fb_str_t text, fc_endpoint_t *endpoint);
+bool fc_parse_socket_address (fb_str_t text, fc_socket_address_t *endpoint);
 
 /* Reads file PATH of at most MAX bytes into *DATA, which the caller frees with g_free;
  * FB_NOT_FOUND, FB_IO or FB_TOO_LARGE with one problem added. */
--- a/packages/config/include/foxtailrun/config/snapshot.h
+++ b/packages/config/include/foxtailrun/config/snapshot.h
@@ -89,10 +89,10 @@
 void fc_release_snapshot (fc_snapshot_t *snapshot);
 
 /* Returns the publisher's version number. */
-uint64_t fc_get_number (const fc_snapshot_t *snapshot);
+uint64_t fc_get_version_number (const fc_snapshot_t *snapshot);
 
 /* Returns the time in ms for which a caller's connection may stay idle. */
-uint32_t fc_get_idle_ms (const fc_snapshot_t *snapshot);
+uint32_t fc_get_idle_timeout_ms (const fc_snapshot_t *snapshot);
 
 /* Returns the document that was checked; owned by the snapshot. */
 fb_bytes_t fc_get_document (const fc_snapshot_t *snapshot);
@@ -122,6 +122,6 @@
                                  fb_str_t path);
 
 /* Returns the weight of customer NAME, 1 when it is not listed. */
-double fc_weigh_customer (const fc_snapshot_t *snapshot, fb_str_t name);
+double fc_get_customer_weight (const fc_snapshot_t *snapshot, fb_str_t name);
 
 #endif
--- a/packages/config/source/check-row.c
+++ b/packages/config/source/check-row.c
@@ -85,7 +85,7 @@
 static void
 set_default (fc_value_t *value)
 {
-  const char *text = value->field->fallback ? value->field->fallback : "";
+  const char *text = value->field->default_text ? value->field->default_text : "";
 
   value->node = NULL;
   value->integer = 0;
@@ -105,7 +105,7 @@
     case FC_TYPE_REFERENCES:
     case FC_TYPE_METHODS:
     case FC_TYPE_PARTS:
-    case FC_TYPE_ENDPOINTS:
+    case FC_TYPE_SOCKET_ADDRESSES:
       break;
     default:
       value->text = fb_wrap_text (text);
@@ -144,7 +144,7 @@
     case FC_TYPE_REFERENCES:
     case FC_TYPE_METHODS:
     case FC_TYPE_PARTS:
-    case FC_TYPE_ENDPOINTS:
+    case FC_TYPE_SOCKET_ADDRESSES:
       if (node->kind != FC_TOML_ARRAY)
         return false;
       break;
@@ -294,6 +294,6 @@
       check_elements (row, value, problems);
     }
   for (size_t i = 0; i < row->count; i++)
-    if (!given[i] && !row->values[i].field->fallback)
+    if (!given[i] && !row->values[i].field->default_text)
       fc_add_row_problem (problems, row, row->values[i].field->key, "nothing", NULL);
 }
--- a/packages/config/source/schema.c
+++ b/packages/config/source/schema.c
@@ -114,7 +114,7 @@
   { "platform", "port", FC_TYPE_INTEGER, "", "0", 1, PORT_MAX, NULL,
     "HTTP port of the platform; required with [platform]" },
 
-  { "seeds", "nodes", FC_TYPE_ENDPOINTS, "", "[]", 0, 0,
+  { "seeds", "nodes", FC_TYPE_SOCKET_ADDRESSES, "", "[]", 0, 0,
     "at most 32 different \"IP:PORT\" or \"[IPv6]:PORT\"",
     "control addresses of nodes to join by" },
 
@@ -166,7 +166,7 @@
     case FC_TYPE_REFERENCES:
     case FC_TYPE_METHODS:
     case FC_TYPE_PARTS:
-    case FC_TYPE_ENDPOINTS:
+    case FC_TYPE_SOCKET_ADDRESSES:
       return "array of strings";
     }
   return "unknown";
@@ -184,7 +184,7 @@
     case FC_TYPE_REFERENCES:
     case FC_TYPE_METHODS:
     case FC_TYPE_PARTS:
-    case FC_TYPE_ENDPOINTS:
+    case FC_TYPE_SOCKET_ADDRESSES:
       return g_strdup_printf ("an array of %s", field->allowed);
     case FC_TYPE_CHOICE:
       return g_strdup_printf ("one of %s", field->allowed);
--- a/packages/config/source/settings.c
+++ b/packages/config/source/settings.c
@@ -75,7 +75,8 @@
   settings->admin_port = ports[3];
   settings->ready_port = take_port (&row, "ready_port");
   check_section (&row, root, "drain", problems);
-  settings->drain_limit = (fb_time_t)fc_get_value (&row, "limit_ms")->integer * FB_MILLISECOND;
+  settings->drain_timeout
+      = (fb_time_t)fc_get_value (&row, "limit_ms")->integer * FB_MILLISECOND;
 }
 
 static void
@@ -109,7 +110,7 @@
 }
 
 bool
-fc_parse_endpoint (fb_str_t text, fc_endpoint_t *endpoint)
+fc_parse_socket_address (fb_str_t text, fc_socket_address_t *endpoint)
 {
   const char *colon = text.len ? memrchr (text.data, ':', text.len) : NULL;
   fb_str_t address;
@@ -130,7 +131,7 @@
 }
 
 static bool
-is_known_seed (const fc_settings_t *settings, const fc_endpoint_t *seed)
+is_known_seed (const fc_settings_t *settings, const fc_socket_address_t *seed)
 {
   for (size_t i = 0; i < settings->seed_count; i++)
     if (settings->seeds[i].port == seed->port
@@ -149,9 +150,9 @@
   list = fc_get_value (&row, "nodes");
   for (const fc_toml_t *node = NULL; (node = fc_next_string (list, node));)
     {
-      fc_endpoint_t seed;
+      fc_socket_address_t seed;
 
-      if (!fc_parse_endpoint (node->text, &seed) || is_known_seed (settings, &seed)
+      if (!fc_parse_socket_address (node->text, &seed) || is_known_seed (settings, &seed)
           || settings->seed_count == FC_SEEDS_MAX)
         fc_add_node_problem (problems, &row, "nodes", node, NULL);
       else
--- a/packages/config/source/snapshot.c
+++ b/packages/config/source/snapshot.c
@@ -98,13 +98,13 @@
 }
 
 uint64_t
-fc_get_number (const fc_snapshot_t *snapshot)
+fc_get_version_number (const fc_snapshot_t *snapshot)
 {
   return snapshot->number;
 }
 
 uint32_t
-fc_get_idle_ms (const fc_snapshot_t *snapshot)
+fc_get_idle_timeout_ms (const fc_snapshot_t *snapshot)
 {
   return snapshot->idle_ms;
 }
@@ -210,7 +210,7 @@
 }
 
 double
-fc_weigh_customer (const fc_snapshot_t *snapshot, fb_str_t name)
+fc_get_customer_weight (const fc_snapshot_t *snapshot, fb_str_t name)
 {
   size_t found;
 
--- a/packages/config/tests/test-change.c
+++ b/packages/config/tests/test-change.c
@@ -141,7 +141,7 @@
   GString *text = g_string_new ("");
   uint32_t index = 0;
 
-  g_string_append_printf (text, "%lu\n", (unsigned long)fc_get_number (snapshot));
+  g_string_append_printf (text, "%lu\n", (unsigned long)fc_get_version_number (snapshot));
   g_string_append_len (text, (const char *)fc_get_document (snapshot).data,
                        (gssize)fc_get_document (snapshot).len);
   for (size_t i = 0; i < fc_count_ranks (snapshot); i++)
@@ -175,7 +175,7 @@
     g_string_append_printf (
         text, "customer %s %a %a\n", fc_get_customer (snapshot, i)->name.data,
         fc_get_customer (snapshot, i)->weight,
-        fc_weigh_customer (snapshot, fb_get_name (&fc_get_customer (snapshot, i)->name)));
+        fc_get_customer_weight (snapshot, fb_get_name (&fc_get_customer (snapshot, i)->name)));
   for (size_t i = 0; i < fc_count_objectives (snapshot); i++)
     {
       const fc_objective_t *objective = fc_get_objective (snapshot, i);
--- a/packages/config/tests/test-document.c
+++ b/packages/config/tests/test-document.c
@@ -223,7 +223,7 @@
   const fc_route_t *route = fc_get_route (snapshot, 0);
   uint32_t index;
 
-  g_assert_cmpuint (fc_get_number (snapshot), ==, 7);
+  g_assert_cmpuint (fc_get_version_number (snapshot), ==, 7);
   g_assert_cmpuint (fc_get_document (snapshot).len, ==, strlen (fixture_document));
   g_assert_cmpstr (rank->name.data, ==, "fast");
   g_assert_cmpuint (rank->target_ms, ==, 1000);
@@ -248,14 +248,14 @@
   g_assert_cmpuint (route->timeout_ms, ==, 1000);
   g_assert_cmpuint (route->retries, ==, 1);
   g_assert_true (route->repeatable);
-  g_assert_cmpfloat (fc_weigh_customer (snapshot, FB_LITERAL ("kilo")), ==, 2.5);
-  g_assert_cmpfloat (fc_weigh_customer (snapshot, FB_LITERAL ("other")), ==, 1);
+  g_assert_cmpfloat (fc_get_customer_weight (snapshot, FB_LITERAL ("kilo")), ==, 2.5);
+  g_assert_cmpfloat (fc_get_customer_weight (snapshot, FB_LITERAL ("other")), ==, 1);
   g_assert_cmpfloat (fc_get_objective (snapshot, 0)->ratio, ==, 0.99);
   g_assert_null (fc_get_rank (snapshot, 2));
   assert_closed (snapshot);
   g_assert_true (fc_retain_snapshot (snapshot) == snapshot);
   fc_release_snapshot (snapshot);
-  g_assert_cmpuint (fc_get_number (snapshot), ==, 7);
+  g_assert_cmpuint (fc_get_version_number (snapshot), ==, 7);
   fc_release_snapshot (snapshot);
 }
 
--- a/packages/dist/source/dist-judge.c
+++ b/packages/dist/source/dist-judge.c
@@ -94,7 +94,7 @@
   char text[FB_VERSION_TEXT_MAX];
 
   FB_INVARIANT (fb_compare_versions (version, &node->version) > 0);
-  FB_INVARIANT (fc_get_number (snapshot) == version->number);
+  FB_INVARIANT (fc_get_version_number (snapshot) == version->number);
   keep_earlier (node);
   fd_clear_encodings (node);
   node->snapshot = snapshot;
@@ -138,8 +138,8 @@
       goto done;
     }
   if (version->number == 0)
-    version->number = fc_get_number (snapshot);
-  if (version->number != fc_get_number (snapshot))
+    version->number = fc_get_version_number (snapshot);
+  if (version->number != fc_get_version_number (snapshot))
     {
       refuse_claim (node, version);
       goto done;
--- a/packages/dist/source/dist-source.c
+++ b/packages/dist/source/dist-source.c
@@ -17,7 +17,7 @@
   if (member->state != FW_ALIVE || !fb_equal_name (&member->zone, &ranking->self->zone)
       || fb_equal_name (&member->id, &ranking->self->id))
     return true;
-  weight = fb_weigh_rendezvous (fb_get_name (&member->zone), fb_get_name (&member->id));
+  weight = fb_get_rendezvous_weight (fb_get_name (&member->zone), fb_get_name (&member->id));
   if (weight > ranking->weight
       || (weight == ranking->weight && fb_compare_names (&member->id, &ranking->self->id) > 0))
     ranking->above++;
@@ -35,8 +35,8 @@
     return true;
   if (ranking.self->state == FW_LEAVING || ranking.self->state == FW_DEAD)
     return false;
-  ranking.weight = fb_weigh_rendezvous (fb_get_name (&ranking.self->zone),
-                                        fb_get_name (&ranking.self->id));
+  ranking.weight = fb_get_rendezvous_weight (fb_get_name (&ranking.self->zone),
+                                             fb_get_name (&ranking.self->id));
   fm_visit_members (node->members, rank_member, &ranking);
   return ranking.above < FD_ZONE_READERS;
 }
--- a/packages/dist/source/feed-relay.c
+++ b/packages/dist/source/feed-relay.c
@@ -90,7 +90,8 @@
       || is_ranked (ranking, &member->address))
     return;
   ranking->nodes++;
-  weight = fb_weigh_rendezvous (fb_get_name (&rules->zone), fb_get_name (&member->address));
+  weight
+      = fb_get_rendezvous_weight (fb_get_name (&rules->zone), fb_get_name (&member->address));
   for (place = ranking->count; place > 0 && ranking->weights[place - 1] < weight; place--)
     {
       if (place == PLACES_MAX)
--- a/packages/foxtailrun/source/cmd-apply.c
+++ b/packages/foxtailrun/source/cmd-apply.c
@@ -211,7 +211,7 @@
 apply_document (const apply_t *apply, fc_snapshot_t *snapshot)
 {
   fx_fleet_t *fleet = fx_create_fleet (FB_LITERAL (""), REQUEST_TIMEOUT_MS);
-  uint64_t number = fc_get_number (snapshot);
+  uint64_t number = fc_get_version_number (snapshot);
   uint64_t in_force = read_number_in_force (fleet, &apply->node);
   fb_digest_t digest = fb_compute_digest (fc_get_document (snapshot));
   char text[FB_DIGEST_HEX_LEN + 1];
--- a/packages/foxtailrun/source/cmd-check.c
+++ b/packages/foxtailrun/source/cmd-check.c
@@ -57,7 +57,7 @@
   fprintf (out,
            "%s: good document, version %" G_GUINT64_FORMAT ", digest %.12s, ranks %zu, "
            "services %zu, routes %zu, customers %zu, objectives %zu\n",
-           check->file, fc_get_number (check->snapshot), digest,
+           check->file, fc_get_version_number (check->snapshot), digest,
            fc_count_ranks (check->snapshot), fc_count_services (check->snapshot),
            fc_count_routes (check->snapshot), fc_count_customers (check->snapshot),
            fc_count_objectives (check->snapshot));
@@ -77,7 +77,7 @@
 
       format_digest (check->snapshot, digest);
       json_object_set_new (result, "version",
-                           json_integer ((json_int_t)fc_get_number (check->snapshot)));
+                           json_integer ((json_int_t)fc_get_version_number (check->snapshot)));
       json_object_set_new (result, "digest", json_string (digest));
     }
   cmd_print_json (result, out);
--- a/packages/foxtailrun/source/cmd-schema.c
+++ b/packages/foxtailrun/source/cmd-schema.c
@@ -9,14 +9,14 @@
 static char *
 format_default (const fc_field_t *field)
 {
-  if (!field->fallback)
+  if (!field->default_text)
     return g_strdup ("required");
   /* A 0 outside the range stands for a key that is left out. */
-  if (!field->fallback[0] || (strcmp (field->fallback, "0") == 0 && field->min > 0))
+  if (!field->default_text[0] || (strcmp (field->default_text, "0") == 0 && field->min > 0))
     return g_strdup ("none");
   if (strcmp (fc_describe_type (field->type), "string") == 0)
-    return g_strdup_printf ("\"%s\"", field->fallback);
-  return g_strdup (field->fallback);
+    return g_strdup_printf ("\"%s\"", field->default_text);
+  return g_strdup (field->default_text);
 }
 
 static char *
@@ -48,7 +48,7 @@
         fprintf (out, "%s%s\n", i ? "\n" : "", section);
       fprintf (out, "  %-13s %s\n", field->key, field->meaning);
       fprintf (out, "  %-13s %s%s%s, %s%s: %s\n", "", fc_describe_type (field->type),
-               field->unit[0] ? " in " : "", field->unit, field->fallback ? "default " : "",
+               field->unit[0] ? " in " : "", field->unit, field->default_text ? "default " : "",
                fallback, allowed);
       g_free (allowed);
       g_free (fallback);
@@ -87,11 +87,11 @@
   char *allowed = fc_describe_allowed (field);
   json_t *object = json_pack ("{s:s, s:s, s:s, s:s, s:b, s:s, s:s}", "section", field->section,
                               "key", field->key, "type", fc_describe_type (field->type), "unit",
-                              field->unit, "required", field->fallback == NULL, "allowed",
+                              field->unit, "required", field->default_text == NULL, "allowed",
                               allowed, "meaning", field->meaning);
 
-  if (field->fallback)
-    json_object_set_new (object, "default", json_string (field->fallback));
+  if (field->default_text)
+    json_object_set_new (object, "default", json_string (field->default_text));
   if (field->type == FC_TYPE_INTEGER || field->type == FC_TYPE_NUMBER)
     {
       json_object_set_new (object, "min", json_real (field->min));
--- a/packages/foxtailrun/source/diff-fields.c
+++ b/packages/foxtailrun/source/diff-fields.c
@@ -36,19 +36,19 @@
 static void
 format_version (const fc_snapshot_t *snapshot, size_t index, GString *text)
 {
-  g_string_append_printf (text, "%" G_GUINT64_FORMAT, fc_get_number (snapshot));
+  g_string_append_printf (text, "%" G_GUINT64_FORMAT, fc_get_version_number (snapshot));
 }
 
 static void
 format_idle (const fc_snapshot_t *snapshot, size_t index, GString *text)
 {
-  g_string_append_printf (text, "%u", fc_get_idle_ms (snapshot));
+  g_string_append_printf (text, "%u", fc_get_idle_timeout_ms (snapshot));
 }
 
 static const char *
 judge_version (const fc_snapshot_t *before, size_t from, const fc_snapshot_t *after, size_t to)
 {
-  return fc_get_number (after) < fc_get_number (before)
+  return fc_get_version_number (after) < fc_get_version_number (before)
              ? "nodes keep the document with the higher version"
              : NULL;
 }
--- a/packages/foxtailrun/source/report-burn.c
+++ b/packages/foxtailrun/source/report-burn.c
@@ -62,7 +62,7 @@
 }
 
 static bool
-read_windows (json_t *list, fs_reading_t *reading)
+read_windows (json_t *list, fs_objective_counts_t *reading)
 {
   bool found[FS_WINDOW_COUNT] = { false };
   json_t *item;
@@ -83,7 +83,7 @@
 }
 
 static bool
-read_objective (json_t *item, fs_reading_t *reading)
+read_objective (json_t *item, fs_objective_counts_t *reading)
 {
   fs_objective_t *objective = &reading->objective;
   json_t *ratio = json_object_get (item, "ratio");
@@ -108,13 +108,13 @@
 read_answer (json_t *answer)
 {
   json_t *list = json_object_get (answer, "objectives");
-  GArray *readings = g_array_new (FALSE, TRUE, sizeof (fs_reading_t));
+  GArray *readings = g_array_new (FALSE, TRUE, sizeof (fs_objective_counts_t));
   json_t *item;
   size_t i;
 
   json_array_foreach (list, i, item)
   {
-    fs_reading_t reading = { 0 };
+    fs_objective_counts_t reading = { 0 };
 
     if (!read_objective (item, &reading))
       {
@@ -149,7 +149,8 @@
 }
 
 static void
-merge_reading (burn_report_t *report, const burn_node_t *node, const fs_reading_t *reading)
+merge_reading (burn_report_t *report, const burn_node_t *node,
+               const fs_objective_counts_t *reading)
 {
   const fs_objective_t *objective = &reading->objective;
   const fs_counts_t *counts = &reading->windows[FS_WINDOW_LONGEST];
@@ -160,7 +161,7 @@
 
   if (row)
     {
-      fs_merge_reading (&row->reading, reading);
+      fs_merge_objective_counts (&row->reading, reading);
       g_free (text);
     }
   else
@@ -189,7 +190,7 @@
   if (!readings)
     return answer ? FB_INVALID : FB_OK;
   for (guint i = 0; i < readings->len; i++)
-    merge_reading (report, &added, &g_array_index (readings, fs_reading_t, i));
+    merge_reading (report, &added, &g_array_index (readings, fs_objective_counts_t, i));
   g_array_unref (readings);
   return FB_OK;
 }
@@ -228,12 +229,12 @@
 static int
 compare_rows (const void *a, const void *b)
 {
-  const fs_reading_t *left = &(*(burn_row_t *const *)a)->reading;
-  const fs_reading_t *right = &(*(burn_row_t *const *)b)->reading;
-  fs_alert_t left_alert = fs_judge_reading (left);
-  fs_alert_t right_alert = fs_judge_reading (right);
-  double left_budget = fs_compute_budget (left);
-  double right_budget = fs_compute_budget (right);
+  const fs_objective_counts_t *left = &(*(burn_row_t *const *)a)->reading;
+  const fs_objective_counts_t *right = &(*(burn_row_t *const *)b)->reading;
+  fs_alert_t left_alert = fs_evaluate_alert (left);
+  fs_alert_t right_alert = fs_evaluate_alert (right);
+  double left_budget = fs_compute_budget_left (left);
+  double right_budget = fs_compute_budget_left (right);
 
   if (left_alert != right_alert)
     return left_alert > right_alert ? -1 : 1;
--- a/packages/foxtailrun/source/report-burn.h
+++ b/packages/foxtailrun/source/report-burn.h
@@ -22,7 +22,7 @@
 /* One objective. Where nodes hold different documents, each target and ratio is a row. */
 typedef struct
 {
-  fs_reading_t reading;
+  fs_objective_counts_t reading;
   GArray *zones; /* burn_part_t, most bad calls first */
   GArray *nodes; /* burn_part_t, most bad calls first */
 } burn_row_t;
@@ -70,10 +70,10 @@
 
 /* Returns the budget left over the longest window as text, such as "12.5 %"; free with g_free.
  */
-char *burn_format_budget (const fs_reading_t *reading);
+char *burn_format_budget (const fs_objective_counts_t *reading);
 
 /* Returns a burn rate as text; free with g_free. */
-char *burn_format_rate (const fs_reading_t *reading, fs_window_t window);
+char *burn_format_rate (const fs_objective_counts_t *reading, fs_window_t window);
 
 /* Returns how far back the counts go, such as "2m10s to 6h"; free with g_free. */
 char *burn_format_reach (const fs_counts_t *counts);
--- a/packages/foxtailrun/source/report-page.c
+++ b/packages/foxtailrun/source/report-page.c
@@ -43,23 +43,24 @@
 static double
 get_threshold (int window)
 {
-  return window == FS_WINDOW_5M || window == FS_WINDOW_1H ? FS_RATE_PAGE : FS_RATE_TICKET;
+  return window == FS_WINDOW_5M || window == FS_WINDOW_1H ? FS_PAGE_BURN_RATE
+                                                          : FS_TICKET_BURN_RATE;
 }
 
 static void
-append_rate_plot (GString *page, const fs_reading_t *reading)
+append_rate_plot (GString *page, const fs_objective_counts_t *reading)
 {
-  double top = FS_RATE_PAGE * 1.25;
+  double top = FS_PAGE_BURN_RATE * 1.25;
 
   g_string_append_printf (page,
                           "<svg viewBox=\"0 0 %d 145\" role=\"img\" "
                           "aria-label=\"Burn rate by window\">\n",
                           PLOT_WIDTH);
   for (int window = 0; window < FS_WINDOW_COUNT; window++)
-    top = MAX (top, fs_compute_rate (&reading->windows[window], reading->objective.ratio));
+    top = MAX (top, fs_compute_burn_rate (&reading->windows[window], reading->objective.ratio));
   for (int window = 0; window < FS_WINDOW_COUNT; window++)
     {
-      double rate = fs_compute_rate (&reading->windows[window], reading->objective.ratio);
+      double rate = fs_compute_burn_rate (&reading->windows[window], reading->objective.ratio);
       double limit = get_threshold (window);
       double height = rate / top * PLOT_HEIGHT;
       double limit_y = PLOT_BASE - limit / top * PLOT_HEIGHT;
@@ -135,9 +136,9 @@
 static void
 append_row (GString *page, const burn_row_t *row)
 {
-  const fs_reading_t *reading = &row->reading;
+  const fs_objective_counts_t *reading = &row->reading;
   const fs_counts_t *longest = &reading->windows[FS_WINDOW_LONGEST];
-  fs_alert_t alert = fs_judge_reading (reading);
+  fs_alert_t alert = fs_evaluate_alert (reading);
   char *budget = burn_format_budget (reading);
   char *reach = burn_format_reach (longest);
 
@@ -145,7 +146,7 @@
   append_escaped (page, reading->objective.service.data);
   g_string_append (page, " / ");
   append_escaped (page, reading->objective.rank.data);
-  if (alert != FS_QUIET)
+  if (alert != FS_ALERT_NONE)
     g_string_append_printf (page, " <span class=\"%s\">%s</span>", fs_describe_alert (alert),
                             fs_describe_alert (alert));
   g_string_append_printf (
--- a/packages/foxtailrun/source/report-text.c
+++ b/packages/foxtailrun/source/report-text.c
@@ -7,9 +7,9 @@
 #define BUDGET_MIN (-9999)
 
 char *
-burn_format_budget (const fs_reading_t *reading)
+burn_format_budget (const fs_objective_counts_t *reading)
 {
-  double percent = fs_compute_budget (reading) * 100;
+  double percent = fs_compute_budget_left (reading) * 100;
 
   if (fabs (percent) < 0.05)
     percent = 0; /* never "-0.0" */
@@ -18,13 +18,13 @@
 }
 
 char *
-burn_format_rate (const fs_reading_t *reading, fs_window_t window)
+burn_format_rate (const fs_objective_counts_t *reading, fs_window_t window)
 {
   const fs_counts_t *counts = &reading->windows[window];
 
   if (fs_count_calls (counts) == 0)
     return g_strdup ("-");
-  return g_strdup_printf ("%.2f", fs_compute_rate (counts, reading->objective.ratio));
+  return g_strdup_printf ("%.2f", fs_compute_burn_rate (counts, reading->objective.ratio));
 }
 
 static void
@@ -94,7 +94,7 @@
 static void
 print_row (const burn_row_t *row, FILE *out)
 {
-  const fs_reading_t *reading = &row->reading;
+  const fs_objective_counts_t *reading = &row->reading;
   const fs_counts_t *longest = &reading->windows[FS_WINDOW_LONGEST];
   char *name = g_strdup_printf ("%s/%s", reading->objective.service.data,
                                 reading->objective.rank.data);
@@ -114,7 +114,7 @@
       fprintf (out, " %8s%s", rate, mark);
       g_free (rate);
     }
-  fprintf (out, " %-7s %9s  ", fs_describe_alert (fs_judge_reading (reading)), budget);
+  fprintf (out, " %-7s %9s  ", fs_describe_alert (fs_evaluate_alert (reading)), budget);
   print_causes (longest, out);
   if (longest->reach_min < fs_get_window_length (FS_WINDOW_LONGEST))
     fprintf (out, "  * counts go back %s\n", reach);
@@ -167,7 +167,7 @@
 }
 
 static json_t *
-pack_windows (const fs_reading_t *reading)
+pack_windows (const fs_objective_counts_t *reading)
 {
   json_t *list = json_array ();
 
@@ -178,7 +178,7 @@
           = json_pack ("{s:s,s:I,s:I,s:f}", "window", fs_describe_window ((fs_window_t)window),
                        "reach_min_ms", (json_int_t)(counts->reach_min / FB_MILLISECOND),
                        "reach_max_ms", (json_int_t)(counts->reach_max / FB_MILLISECOND), "rate",
-                       fs_compute_rate (counts, reading->objective.ratio));
+                       fs_compute_burn_rate (counts, reading->objective.ratio));
 
       for (int cause = 0; cause < FS_CAUSE_COUNT; cause++)
         json_object_set_new (object, fs_describe_cause ((fs_cause_t)cause),
@@ -212,9 +212,10 @@
           json_pack ("{s:s,s:s,s:I,s:f,s:s,s:f,s:o,s:o,s:o}", "service",
                      objective->service.data, "rank", objective->rank.data, "target_ms",
                      (json_int_t)objective->target_ms, "ratio", objective->ratio, "alert",
-                     fs_describe_alert (fs_judge_reading (&row->reading)), "budget",
-                     fs_compute_budget (&row->reading), "windows", pack_windows (&row->reading),
-                     "zones", pack_parts (row->zones), "nodes", pack_parts (row->nodes)));
+                     fs_describe_alert (fs_evaluate_alert (&row->reading)), "budget",
+                     fs_compute_budget_left (&row->reading), "windows",
+                     pack_windows (&row->reading), "zones", pack_parts (row->zones), "nodes",
+                     pack_parts (row->nodes)));
     }
   return json_pack ("{s:o,s:o}", "nodes", nodes, "objectives", objectives);
 }
--- a/packages/foxtailrund/source/main.c
+++ b/packages/foxtailrund/source/main.c
@@ -49,7 +49,7 @@
 } daemon_t;
 
 static bool
-is_same_endpoint (const fc_endpoint_t *a, const fc_endpoint_t *b)
+is_same_endpoint (const fc_socket_address_t *a, const fc_socket_address_t *b)
 {
   return a->port == b->port && fb_equal_name (&a->address, &b->address);
 }
@@ -83,9 +83,9 @@
 {
   const fc_settings_t *settings = &node->settings;
   fb_clock_t *clock = fb_create_system_clock ();
-  fb_output_t output = { 0 };
+  fb_stdout_sink_t output = { 0 };
   fb_log_t *log = fb_create_log (clock, settings->log_format, settings->log_level,
-                                 fb_write_output, &output);
+                                 fb_write_stdout, &output);
   fk_kernel_t *kernel = fk_create_kernel (log);
   int code = EXIT_FAILURE;
 
--- a/packages/node/source/node-backend.c
+++ b/packages/node/source/node-backend.c
@@ -378,7 +378,7 @@
   update_rules (backend, snapshot);
   fr_offer_call_with_times (backend->admission, served->handle, served, find_rank (served),
                             served->call.customer,
-                            fc_weigh_customer (snapshot, served->call.customer), &times);
+                            fc_get_customer_weight (snapshot, served->call.customer), &times);
 }
 
 static fb_status_t
--- a/packages/node/source/node-burn.c
+++ b/packages/node/source/node-burn.c
@@ -75,12 +75,12 @@
 }
 
 static json_t *
-pack_window (const fs_reading_t *reading, fs_window_t window)
+pack_window (const fs_objective_counts_t *reading, fs_window_t window)
 {
   const fs_counts_t *counts = &reading->windows[window];
   json_t *object = json_pack ("{s:s,s:I,s:f}", "window", fs_describe_window (window),
                               "reach_ms", (json_int_t)(counts->reach_min / FB_MILLISECOND),
-                              "rate", fs_compute_rate (counts, reading->objective.ratio));
+                              "rate", fs_compute_burn_rate (counts, reading->objective.ratio));
 
   for (int cause = 0; cause < FS_CAUSE_COUNT; cause++)
     json_object_set_new (object, fs_describe_cause ((fs_cause_t)cause),
@@ -89,7 +89,7 @@
 }
 
 static json_t *
-pack_reading (const fs_reading_t *reading)
+pack_reading (const fs_objective_counts_t *reading)
 {
   const fs_objective_t *objective = &reading->objective;
   json_t *windows = json_array ();
@@ -99,8 +99,8 @@
   return json_pack ("{s:s,s:s,s:I,s:f,s:s,s:f,s:o}", "service", objective->service.data, "rank",
                     objective->rank.data, "target_ms", (json_int_t)objective->target_ms,
                     "ratio", objective->ratio, "alert",
-                    fs_describe_alert (fs_judge_reading (reading)), "budget",
-                    fs_compute_budget (reading), "windows", windows);
+                    fs_describe_alert (fs_evaluate_alert (reading)), "budget",
+                    fs_compute_budget_left (reading), "windows", windows);
 }
 
 json_t *
@@ -108,10 +108,10 @@
 {
   const fc_settings_t *settings = fn_get_settings (burn->kernel);
   json_t *list = json_array ();
-  fs_reading_t reading;
+  fs_objective_counts_t reading;
 
   follow_snapshot (burn);
-  for (size_t i = 0; fs_read_objective (burn->counts, i, &reading); i++)
+  for (size_t i = 0; fs_get_objective_counts (burn->counts, i, &reading); i++)
     json_array_append_new (list, pack_reading (&reading));
   return json_pack ("{s:s,s:s,s:o}", "id", settings->id.data, "zone", settings->zone.data,
                     "objectives", list);
--- a/packages/node/source/node-drain.c
+++ b/packages/node/source/node-drain.c
@@ -35,7 +35,7 @@
       return;
     }
   if (count_open_calls (drain->kernel) > 0
-      && elapsed < fn_get_settings (drain->kernel)->drain_limit)
+      && elapsed < fn_get_settings (drain->kernel)->drain_timeout)
     return;
   FB_LOG (fk_get_log (drain->kernel), FB_LOG_INFO, FN_DRAIN, "drained",
           FB_NUMBER ("ms_taken", elapsed / FB_MILLISECOND),
--- a/packages/node/source/node-entry.c
+++ b/packages/node/source/node-entry.c
@@ -114,8 +114,9 @@
                                          : "answered",
           FB_TEXT ("id", call->request_id), FB_NUMBER ("status", answer->status),
           FB_STR ("reason", answer->reason), FB_TEXT ("route", call->route->name.data),
-          FB_NUMBER ("version", fc_get_number (call->snapshot)), FB_TEXT ("instance", instance),
-          FB_NUMBER ("attempts", call->attempt_count), FB_NUMBER ("again", call->again),
+          FB_NUMBER ("version", fc_get_version_number (call->snapshot)),
+          FB_TEXT ("instance", instance), FB_NUMBER ("attempts", call->attempt_count),
+          FB_NUMBER ("again", call->again),
           FB_NUMBER ("total_ms", (now - call->start) / FB_MILLISECOND),
           FB_NUMBER ("target_ms", (call->aim - call->start) / FB_MILLISECOND),
           FB_NUMBER ("limit_ms", (call->deadline - call->start) / FB_MILLISECOND),
@@ -411,7 +412,7 @@
       refuse_request (entry, request, 429, "service is overloaded for this rank", request_id);
       return;
     }
-  fh_limit_idle (entry->server, (fb_time_t)fc_get_idle_ms (snapshot) * FB_MILLISECOND);
+  fh_limit_idle (entry->server, (fb_time_t)fc_get_idle_timeout_ms (snapshot) * FB_MILLISECOND);
   call = create_call (entry, request, snapshot, route, part, request_id);
   fh_watch_cancel (request, cancel_call, call);
   call->below_repeat = fn_is_below_repeat (fk_find_service (entry->kernel, FN_BACKEND),
@@ -435,9 +436,9 @@
   size_t nodes = fn_count_endpoints (fk_find_service (entry->kernel, FN_DIRECTORY));
 
   fr_update_instance (entry->picker, member);
-  if (settings->retry_slack > 0)
+  if (settings->shared_retry_floor > 0)
     fr_set_retry_allowance (entry->budget, settings->retry_ratio,
-                            settings->retry_slack * SLACK_PART / (double)MAX (nodes, 1));
+                            settings->shared_retry_floor * SLACK_PART / (double)MAX (nodes, 1));
 }
 
 static fb_status_t
--- a/packages/node/source/node-feed.c
+++ b/packages/node/source/node-feed.c
@@ -173,7 +173,7 @@
 set_relay (fn_feed_t *feed, const fw_member_t *peer)
 {
   fb_time_t limit
-      = (fb_time_t)((double)fn_get_settings (feed->kernel)->source_pace * ASK_PACES);
+      = (fb_time_t)((double)fn_get_settings (feed->kernel)->source_poll_interval * ASK_PACES);
 
   if (feed->relay && fb_equal_name (&feed->relay_address, &peer->address))
     return;
@@ -275,7 +275,7 @@
   const fc_settings_t *settings = fn_get_settings (kernel);
   fd_feed_options_t rules = { .address = settings->address,
                               .zone = settings->zone,
-                              .poll_interval = settings->source_pace };
+                              .poll_interval = settings->source_poll_interval };
   fn_feed_t *feed = g_new0 (fn_feed_t, 1);
   fd_feed_hooks_t hooks
       = { read_store, send_ask, answer_ask, change_endpoint, deliver_document, feed };
--- a/packages/report/include/foxtailrun/report/burn.h
+++ b/packages/report/include/foxtailrun/report/burn.h
@@ -33,17 +33,17 @@
 
 /* Burn rates at which both windows of a pair raise an alert: the budget of 30 days would be
  * used up in about 2 and 5 days. */
-#define FS_RATE_PAGE 14.4
-#define FS_RATE_TICKET 6.0
+#define FS_PAGE_BURN_RATE 14.4
+#define FS_TICKET_BURN_RATE 6.0
 
 /* Largest burn rate. Any bad call against a ratio of 1, which leaves no budget, has it. */
-#define FS_RATE_MAX 1e6
+#define FS_BURN_RATE_MAX 1e6
 
 typedef enum
 {
-  FS_QUIET,
-  FS_TICKET, /* 30 min and 6 h burn at FS_RATE_TICKET or more */
-  FS_PAGE    /* 5 min and 1 h burn at FS_RATE_PAGE or more */
+  FS_ALERT_NONE,
+  FS_ALERT_TICKET, /* 30 min and 6 h burn at FS_TICKET_BURN_RATE or more */
+  FS_ALERT_PAGE    /* 5 min and 1 h burn at FS_PAGE_BURN_RATE or more */
 } fs_alert_t;
 
 typedef struct
@@ -67,7 +67,7 @@
 {
   fs_objective_t objective;
   fs_counts_t windows[FS_WINDOW_COUNT];
-} fs_reading_t;
+} fs_objective_counts_t;
 
 /* Counts of one process. Each objective takes 2.5 KB plus its name, so that the largest
  * configuration (FC_OBJECTIVES_MAX) takes about 11 MB. */
@@ -95,7 +95,7 @@
 
 /* Stores the counts of objective INDEX, in the order of the document; false when there is none.
  */
-bool fs_read_objective (fs_burn_t *burn, size_t index, fs_reading_t *reading);
+bool fs_get_objective_counts (fs_burn_t *burn, size_t index, fs_objective_counts_t *reading);
 
 /* Returns the length of WINDOW in ns, and its name, such as "5m". */
 fb_time_t fs_get_window_length (fs_window_t window);
@@ -111,20 +111,21 @@
 uint64_t fs_count_calls (const fs_counts_t *counts);
 uint64_t fs_count_bad (const fs_counts_t *counts);
 
-/* Returns the bad part of COUNTS divided by 1 - RATIO, at most FS_RATE_MAX; 0 without calls. */
-double fs_compute_rate (const fs_counts_t *counts, double ratio);
+/* Returns the bad part of COUNTS divided by 1 - RATIO, at most FS_BURN_RATE_MAX; 0 without
+ * calls. */
+double fs_compute_burn_rate (const fs_counts_t *counts, double ratio);
 
 /* Returns the alert that the two pairs of windows raise; a page outranks a ticket. */
-fs_alert_t fs_judge_reading (const fs_reading_t *reading);
+fs_alert_t fs_evaluate_alert (const fs_objective_counts_t *reading);
 
 /* Returns the part of the budget that the calls of the longest window have left; negative when
  * they used more than all of it. */
-double fs_compute_budget (const fs_reading_t *reading);
+double fs_compute_budget_left (const fs_objective_counts_t *reading);
 
 /* Returns whether two objectives are the same in every field. */
 bool fs_equal_objective (const fs_objective_t *a, const fs_objective_t *b);
 
 /* Adds the counts of FROM, of the same objective, to INTO. */
-void fs_merge_reading (fs_reading_t *into, const fs_reading_t *from);
+void fs_merge_objective_counts (fs_objective_counts_t *into, const fs_objective_counts_t *from);
 
 #endif
--- a/packages/report/source/burn-count.c
+++ b/packages/report/source/burn-count.c
@@ -188,7 +188,7 @@
 }
 
 bool
-fs_read_objective (fs_burn_t *burn, size_t index, fs_reading_t *reading)
+fs_get_objective_counts (fs_burn_t *burn, size_t index, fs_objective_counts_t *reading)
 {
   fb_time_t now = fb_read_clock (burn->clock);
   entry_t *entry;
@@ -196,7 +196,7 @@
   if (index >= burn->entries->len)
     return false;
   entry = burn->entries->pdata[index];
-  *reading = (fs_reading_t){ .objective = entry->objective };
+  *reading = (fs_objective_counts_t){ .objective = entry->objective };
   for (int window = 0; window < FS_WINDOW_COUNT; window++)
     read_window (entry, (fs_window_t)window, now, &reading->windows[window]);
   return true;
--- a/packages/report/source/burn-rate.c
+++ b/packages/report/source/burn-rate.c
@@ -23,8 +23,8 @@
   double rate;
   fs_alert_t alert;
 } pairs[] = {
-  { FS_WINDOW_5M, FS_WINDOW_1H, FS_RATE_PAGE, FS_PAGE },
-  { FS_WINDOW_30M, FS_WINDOW_6H, FS_RATE_TICKET, FS_TICKET },
+  { FS_WINDOW_5M, FS_WINDOW_1H, FS_PAGE_BURN_RATE, FS_ALERT_PAGE },
+  { FS_WINDOW_30M, FS_WINDOW_6H, FS_TICKET_BURN_RATE, FS_ALERT_TICKET },
 };
 
 fb_time_t
@@ -73,39 +73,41 @@
 }
 
 double
-fs_compute_rate (const fs_counts_t *counts, double ratio)
+fs_compute_burn_rate (const fs_counts_t *counts, double ratio)
 {
   uint64_t bad = fs_count_bad (counts);
 
   if (bad == 0)
     return 0;
   if (ratio >= 1)
-    return FS_RATE_MAX;
-  return MIN ((double)bad / (double)fs_count_calls (counts) / (1 - ratio), FS_RATE_MAX);
+    return FS_BURN_RATE_MAX;
+  return MIN ((double)bad / (double)fs_count_calls (counts) / (1 - ratio), FS_BURN_RATE_MAX);
 }
 
 /* Tolerates the rounding of 1 - ratio, so that a rate at the border raises the alert. */
 static bool
-reaches (const fs_reading_t *reading, fs_window_t window, double rate)
+reaches (const fs_objective_counts_t *reading, fs_window_t window, double rate)
 {
-  return fs_compute_rate (&reading->windows[window], reading->objective.ratio)
+  return fs_compute_burn_rate (&reading->windows[window], reading->objective.ratio)
          >= rate * (1 - 1e-9);
 }
 
 fs_alert_t
-fs_judge_reading (const fs_reading_t *reading)
+fs_evaluate_alert (const fs_objective_counts_t *reading)
 {
   for (size_t i = 0; i < G_N_ELEMENTS (pairs); i++)
     if (reaches (reading, pairs[i].shorter, pairs[i].rate)
         && reaches (reading, pairs[i].longer, pairs[i].rate))
       return pairs[i].alert;
-  return FS_QUIET;
+  return FS_ALERT_NONE;
 }
 
 double
-fs_compute_budget (const fs_reading_t *reading)
+fs_compute_budget_left (const fs_objective_counts_t *reading)
 {
-  return 1 - fs_compute_rate (&reading->windows[FS_WINDOW_LONGEST], reading->objective.ratio);
+  return 1
+         - fs_compute_burn_rate (&reading->windows[FS_WINDOW_LONGEST],
+                                 reading->objective.ratio);
 }
 
 bool
@@ -116,7 +118,7 @@
 }
 
 void
-fs_merge_reading (fs_reading_t *into, const fs_reading_t *from)
+fs_merge_objective_counts (fs_objective_counts_t *into, const fs_objective_counts_t *from)
 {
   for (int window = 0; window < FS_WINDOW_COUNT; window++)
     {
--- a/packages/report/tests/test-burn.c
+++ b/packages/report/tests/test-burn.c
@@ -57,7 +57,7 @@
     {
       fb_clock_t *clock = fb_create_manual_clock (START);
       fs_burn_t *burn = fs_create_burn (clock);
-      fs_reading_t reading;
+      fs_objective_counts_t reading;
 
       apply_document (burn, HEAD FAST ("50", "0.9"));
       fb_advance_clock (clock, cases[i].counted_s * FB_SECOND);
@@ -66,10 +66,10 @@
       for (fb_time_t step = 0; step < 3; step++)
         {
           fb_advance_clock (clock, (cases[i].read_s - cases[i].counted_s) * FB_SECOND / 3);
-          g_assert_true (fs_read_objective (burn, 0, &reading));
+          g_assert_true (fs_get_objective_counts (burn, 0, &reading));
         }
       fb_advance_clock (clock, START + cases[i].read_s * FB_SECOND - fb_read_clock (clock));
-      g_assert_true (fs_read_objective (burn, 0, &reading));
+      g_assert_true (fs_get_objective_counts (burn, 0, &reading));
       for (int window = 0; window < FS_WINDOW_COUNT; window++)
         g_assert_cmpuint (fs_count_calls (&reading.windows[window]), ==,
                           cases[i].calls[window]);
@@ -101,11 +101,11 @@
     {
       fb_clock_t *clock = fb_create_manual_clock (START);
       fs_burn_t *burn = fs_create_burn (clock);
-      fs_reading_t reading;
+      fs_objective_counts_t reading;
 
       apply_document (burn, HEAD FAST ("50", "0.9"));
       fb_advance_clock (clock, cases[i].after_s * FB_SECOND);
-      g_assert_true (fs_read_objective (burn, 0, &reading));
+      g_assert_true (fs_get_objective_counts (burn, 0, &reading));
       for (int window = 0; window < FS_WINDOW_COUNT; window++)
         {
           g_assert_cmpint (reading.windows[window].reach_min / FB_SECOND, ==,
@@ -144,11 +144,11 @@
     {
       fb_clock_t *clock = fb_create_manual_clock (START);
       fs_burn_t *burn = fs_create_burn (clock);
-      fs_reading_t reading;
+      fs_objective_counts_t reading;
 
       apply_document (burn, HEAD FAST ("50", "0.9"));
       fs_count_call (burn, shop, fb_wrap_text (cases[i].rank), cases[i].cause, cases[i].taken);
-      g_assert_true (fs_read_objective (burn, 0, &reading));
+      g_assert_true (fs_get_objective_counts (burn, 0, &reading));
       for (int window = 0; window < FS_WINDOW_COUNT; window++)
         for (int cause = 0; cause < FS_CAUSE_COUNT; cause++)
           g_assert_cmpuint (reading.windows[window].calls[cause], ==, cases[i].calls[cause]);
@@ -169,24 +169,24 @@
     double rate; /* of the longest window */
     fs_alert_t alert;
   } cases[] = {
-    { { 0, 0, 0, 0 }, 0.99, 0, FS_QUIET },
-    { { 0, 0, 0, 0 }, 1, 0, FS_QUIET },
-    { { 0, 0, 0, 1 }, 1, FS_RATE_MAX, FS_QUIET },
-    { { 1, 1, 1, 1 }, 1, FS_RATE_MAX, FS_PAGE },
-    { { 1000, 1000, 1000, 1000 }, 0, 1, FS_QUIET },
-    { { 144, 0, 144, 0 }, 0.99, 0, FS_PAGE },
-    { { 143, 0, 144, 0 }, 0.99, 0, FS_QUIET },
-    { { 144, 0, 143, 0 }, 0.99, 0, FS_QUIET },
-    { { 0, 60, 0, 60 }, 0.99, 6, FS_TICKET },
-    { { 0, 59, 0, 60 }, 0.99, 6, FS_QUIET },
-    { { 0, 60, 0, 59 }, 0.99, 5.9, FS_QUIET },
-    { { 144, 144, 144, 144 }, 0.99, 14.4, FS_PAGE },
-    { { 144, 144, 100, 60 }, 0.99, 6, FS_TICKET },
+    { { 0, 0, 0, 0 }, 0.99, 0, FS_ALERT_NONE },
+    { { 0, 0, 0, 0 }, 1, 0, FS_ALERT_NONE },
+    { { 0, 0, 0, 1 }, 1, FS_BURN_RATE_MAX, FS_ALERT_NONE },
+    { { 1, 1, 1, 1 }, 1, FS_BURN_RATE_MAX, FS_ALERT_PAGE },
+    { { 1000, 1000, 1000, 1000 }, 0, 1, FS_ALERT_NONE },
+    { { 144, 0, 144, 0 }, 0.99, 0, FS_ALERT_PAGE },
+    { { 143, 0, 144, 0 }, 0.99, 0, FS_ALERT_NONE },
+    { { 144, 0, 143, 0 }, 0.99, 0, FS_ALERT_NONE },
+    { { 0, 60, 0, 60 }, 0.99, 6, FS_ALERT_TICKET },
+    { { 0, 59, 0, 60 }, 0.99, 6, FS_ALERT_NONE },
+    { { 0, 60, 0, 59 }, 0.99, 5.9, FS_ALERT_NONE },
+    { { 144, 144, 144, 144 }, 0.99, 14.4, FS_ALERT_PAGE },
+    { { 144, 144, 100, 60 }, 0.99, 6, FS_ALERT_TICKET },
   };
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      fs_reading_t reading = { .objective.ratio = cases[i].ratio };
+      fs_objective_counts_t reading = { .objective.ratio = cases[i].ratio };
 
       for (int window = 0; window < FS_WINDOW_COUNT; window++)
         {
@@ -194,10 +194,11 @@
           reading.windows[window].calls[FS_LATE] = cases[i].bad[window];
         }
       g_assert_cmpfloat_with_epsilon (
-          fs_compute_rate (&reading.windows[FS_WINDOW_LONGEST], cases[i].ratio), cases[i].rate,
-          1e-9);
-      g_assert_cmpfloat_with_epsilon (fs_compute_budget (&reading), 1 - cases[i].rate, 1e-9);
-      g_assert_cmpstr (fs_describe_alert (fs_judge_reading (&reading)), ==,
+          fs_compute_burn_rate (&reading.windows[FS_WINDOW_LONGEST], cases[i].ratio),
+          cases[i].rate, 1e-9);
+      g_assert_cmpfloat_with_epsilon (fs_compute_budget_left (&reading), 1 - cases[i].rate,
+                                      1e-9);
+      g_assert_cmpstr (fs_describe_alert (fs_evaluate_alert (&reading)), ==,
                        fs_describe_alert (cases[i].alert));
     }
 }
@@ -230,7 +231,7 @@
     {
       fb_clock_t *clock = fb_create_manual_clock (START);
       fs_burn_t *burn = fs_create_burn (clock);
-      fs_reading_t reading;
+      fs_objective_counts_t reading;
 
       apply_document (burn, cases[i].documents[0]);
       fs_count_call (burn, shop, fast, FS_GOOD, 0);
@@ -242,10 +243,10 @@
         }
       fb_advance_clock (clock, 80 * FB_SECOND);
       g_assert_cmpuint (fs_count_objectives (burn), ==, cases[i].objectives);
-      g_assert_false (fs_read_objective (burn, cases[i].objectives, &reading));
+      g_assert_false (fs_get_objective_counts (burn, cases[i].objectives, &reading));
       if (cases[i].objectives > 0)
         {
-          g_assert_true (fs_read_objective (burn, cases[i].index, &reading));
+          g_assert_true (fs_get_objective_counts (burn, cases[i].index, &reading));
           g_assert_cmpstr (reading.objective.rank.data, ==, "fast");
           g_assert_cmpfloat (reading.objective.ratio, ==, cases[i].ratio);
           g_assert_cmpuint (reading.windows[0].calls[FS_GOOD], ==, cases[i].calls);
@@ -260,11 +261,11 @@
 static void
 test_merge (void)
 {
-  fs_reading_t sum = { .windows[0] = { { 5, 1, 0, 0, 0 }, 10, 10 } };
-  fs_reading_t part = { .windows[0] = { { 2, 0, 3, 0, 4 }, 4, 30 } };
+  fs_objective_counts_t sum = { .windows[0] = { { 5, 1, 0, 0, 0 }, 10, 10 } };
+  fs_objective_counts_t part = { .windows[0] = { { 2, 0, 3, 0, 4 }, 4, 30 } };
   static const uint64_t calls[FS_CAUSE_COUNT] = { 7, 1, 3, 0, 4 };
 
-  fs_merge_reading (&sum, &part);
+  fs_merge_objective_counts (&sum, &part);
   for (int cause = 0; cause < FS_CAUSE_COUNT; cause++)
     g_assert_cmpuint (sum.windows[0].calls[cause], ==, calls[cause]);
   g_assert_cmpint (sum.windows[0].reach_min, ==, 4);
--- a/standins/fleet/fleet-host.c
+++ b/standins/fleet/fleet-host.c
@@ -113,7 +113,7 @@
   fb_digest_t digest = fb_compute_digest (fc_get_document (snapshot));
 
   FB_INVARIANT (fb_compare_digests (&digest, &version->digest) == 0);
-  FB_INVARIANT (fc_get_number (snapshot) == version->number);
+  FB_INVARIANT (fc_get_version_number (snapshot) == version->number);
   FB_INVARIANT (is_listed (host->fleet->valid, &digest));
   FB_INVARIANT (fb_compare_versions (version, &host->highest) > 0);
   host->reached_at = fb_read_clock (host->fleet->clock);
@@ -253,7 +253,7 @@
   FB_INVARIANT (fb_compare_versions (version, &host->highest) >= 0);
   FB_INVARIANT ((snapshot == NULL) == (version->number == 0));
   if (snapshot != NULL)
-    FB_INVARIANT (fc_get_number (snapshot) == version->number);
+    FB_INVARIANT (fc_get_version_number (snapshot) == version->number);
   FB_INVARIANT (!fd_is_ready (host->node) || host->ready);
   FB_INVARIANT (host->source_calls <= 3 + (uint64_t)(age / FB_SECOND) + 1);
   host->highest = *version;
--- a/standins/fleet/fleet.c
+++ b/standins/fleet/fleet.c
@@ -44,7 +44,7 @@
       snapshot = fc_check_document (bytes, problems);
       if (snapshot != NULL)
         {
-          held.number = fc_get_number (snapshot);
+          held.number = fc_get_version_number (snapshot);
           held.digest = fb_compute_digest (bytes);
           if (fb_compare_versions (&held, &highest) > 0)
             highest = held;
