--- a/bench/call-bench.c
+++ b/bench/call-bench.c
@@ -106,7 +106,8 @@
 static void
 send_next (bench_t *bench)
 {
-  fh_outgoing_t outgoing = { .method = FB_LITERAL ("GET"), .path = FB_LITERAL ("/x?sleep=0") };
+  fh_client_request_t outgoing
+      = { .method = FB_LITERAL ("GET"), .path = FB_LITERAL ("/x?sleep=0") };
 
   bench->way = bench->parallel ? WAYS - 1 : bench->calls % WAYS;
   bench->open++;
--- a/bench/fleet-bench.c
+++ b/bench/fleet-bench.c
@@ -157,8 +157,8 @@
   fb_name_t address = make_address (bench, host);
   fh_client_t *client
       = fh_create_client (bench->kernel, &address, port, 1, 1 << 20, 2 * FB_SECOND);
-  fh_outgoing_t outgoing
-      = { .method = FB_LITERAL ("GET"), .path = fb_wrap_text (path), .fresh = true };
+  fh_client_request_t outgoing
+      = { .method = FB_LITERAL ("GET"), .path = fb_wrap_text (path), .new_connection = true };
   fetch_t fetch = { .bench = bench };
 
   fh_send_request (client, &outgoing, receive, &fetch);
--- a/packages/foxtailrun/source/fleet.c
+++ b/packages/foxtailrun/source/fleet.c
@@ -120,11 +120,11 @@
   fx_fleet_t *fleet = request->fleet;
   fb_time_t timeout = fleet->timeout_ms * FB_MILLISECOND;
   fh_header_t header = { FB_LITERAL ("authorization"), fb_wrap_text (fleet->authorization) };
-  fh_outgoing_t outgoing = { .method = fb_wrap_text (request->method),
-                             .path = fb_wrap_text (request->path),
-                             .header_count = 1,
-                             .headers = &header,
-                             .fresh = true };
+  fh_client_request_t outgoing = { .method = fb_wrap_text (request->method),
+                                   .path = fb_wrap_text (request->path),
+                                   .header_count = 1,
+                                   .headers = &header,
+                                   .new_connection = true };
 
   (*request->open)++;
   request->client = fh_create_client (fleet->kernel, &request->target.address,
--- a/packages/foxtailrun/source/load-run.c
+++ b/packages/foxtailrun/source/load-run.c
@@ -75,9 +75,9 @@
 {
   const load_kind_t *kind = call->kind;
   fh_header_t headers[2];
-  fh_outgoing_t outgoing = { .method = fb_wrap_text (kind->method),
-                             .path = fb_wrap_text (kind->path),
-                             .headers = headers };
+  fh_client_request_t outgoing = { .method = fb_wrap_text (kind->method),
+                                   .path = fb_wrap_text (kind->path),
+                                   .headers = headers };
 
   if (kind->customer.len > 0)
     headers[outgoing.header_count++]
--- a/packages/foxtailrund/tests/fixture-fleet.c
+++ b/packages/foxtailrund/tests/fixture-fleet.c
@@ -344,11 +344,11 @@
 {
   fb_name_t address = make_address (fleet, host);
   fleet_pending_t *pending = g_new0 (fleet_pending_t, 1);
-  fh_outgoing_t outgoing = { .method = fb_wrap_text (method),
-                             .path = fb_wrap_text (path),
-                             .header_count = header ? 1 : 0,
-                             .headers = header,
-                             .fresh = true };
+  fh_client_request_t outgoing = { .method = fb_wrap_text (method),
+                                   .path = fb_wrap_text (path),
+                                   .header_count = header ? 1 : 0,
+                                   .headers = header,
+                                   .new_connection = true };
 
   pending->fleet = fleet;
   pending->client
--- a/packages/http/include/foxtailrun/http/client.h
+++ b/packages/http/include/foxtailrun/http/client.h
@@ -10,7 +10,7 @@
 {
   FH_ANSWERED,  /* a whole response */
   FH_NOT_SENT,  /* no connection; nothing reached the server */
-  FH_CUT,       /* the response broke off, or its length cannot be known */
+  FH_TRUNCATED, /* the response broke off, or its length cannot be known */
   FH_NO_ANSWER, /* the request was sent, and the connection ended without a response */
   FH_TOO_LARGE  /* the response is over the limit */
 } fh_result_t;
@@ -23,14 +23,16 @@
   const fh_header_t
       *headers; /* connection headers, host and length are left out and made anew */
   fb_bytes_t body;
-  fb_str_t host;    /* host header; the server's address and port when empty */
-  fh_header_t echo; /* header that the server repeats in its response; a response with another
-                       value belongs to another request and is dropped. No name: not checked */
-  bool fresh;      /* use a new connection, so that a stale one cannot leave the outcome open */
+  fb_str_t host; /* host header; the server's address and port when empty */
+  fh_header_t
+      echoed_header; /* header that the server repeats in its response; a response with another
+               value belongs to another request and is dropped. No name: not checked */
+  bool new_connection; /* use a new connection, so that a stale one cannot leave the outcome
+                          open */
   bool repeatable; /* send again when the server closes a kept connection without a response */
-  bool
-      until_close; /* take a body without a length as whole when the connection ends in order */
-} fh_outgoing_t;
+  bool allows_close_delimited; /* take a body without a length as whole when the connection ends
+                                  in order */
+} fh_client_request_t;
 
 /* A response; borrowed during the callback. */
 typedef struct
@@ -40,9 +42,9 @@
   size_t header_count;
   const fh_header_t *headers;
   fb_bytes_t body;
-  bool unframed; /* the body ended with the connection, which a server that breaks off may do
-                    too */
-  const char *error; /* what went wrong, static */
+  bool close_delimited; /* the body ended with the connection, which a server that breaks off
+                    may do too */
+  const char *error;    /* what went wrong, static */
 } fh_response_t;
 
 typedef struct fh_client fh_client_t;
@@ -57,7 +59,7 @@
                                size_t idle_max, size_t body_max, fb_time_t io_timeout);
 
 /* Bounds the time in which a connection must be established; at first as IO_TIMEOUT. */
-void fh_limit_connecting (fh_client_t *client, fb_time_t timeout);
+void fh_set_connect_timeout (fh_client_t *client, fb_time_t timeout);
 
 /* Closes the connections that no exchange uses. */
 void fh_close_idle (fh_client_t *client);
@@ -67,7 +69,7 @@
 
 /* Sends a request, copying all parts. DONE is called once, later, from the loop, unless the
  * exchange is cancelled first. */
-fh_exchange_t *fh_send_request (fh_client_t *client, const fh_outgoing_t *outgoing,
+fh_exchange_t *fh_send_request (fh_client_t *client, const fh_client_request_t *outgoing,
                                 fh_done_fn_t done, void *user);
 
 /* Closes the connection of an exchange without calling DONE; returns whether the request may
--- a/packages/http/include/foxtailrun/http/server.h
+++ b/packages/http/include/foxtailrun/http/server.h
@@ -24,7 +24,7 @@
 void fh_stop_accepting (fh_server_t *server);
 
 /* Bounds the time in which a request must arrive, and for which a connection may stay idle. */
-void fh_limit_idle (fh_server_t *server, fb_time_t timeout);
+void fh_set_idle_timeout (fh_server_t *server, fb_time_t timeout);
 
 /* Returns the number of requests not yet answered. */
 size_t fh_count_requests (const fh_server_t *server);
@@ -41,7 +41,7 @@
 size_t fh_get_headers (const fh_request_t *request, const fh_header_t **headers);
 
 /* Sets what to call when the caller's connection closes before the response. */
-void fh_watch_cancel (fh_request_t *request, fh_cancelled_fn_t cancelled, void *user);
+void fh_set_cancelled_handler (fh_request_t *request, fh_cancelled_fn_t cancelled, void *user);
 
 /* Sends the response, copying all parts, and frees REQUEST. Headers that concern one connection
  * and the length are left out and made anew. */
@@ -49,10 +49,10 @@
                  size_t count, fb_bytes_t body);
 
 /* The same for a body that may not be whole: it has no length and ends with the connection. */
-void fh_respond_unframed (fh_request_t *request, uint32_t status, const fh_header_t *headers,
-                          size_t count, fb_bytes_t body);
+void fh_respond_close_delimited (fh_request_t *request, uint32_t status,
+                                 const fh_header_t *headers, size_t count, fb_bytes_t body);
 
 /* From now on each response ends its connection. */
-void fh_end_connections (fh_server_t *server);
+void fh_disable_keep_alive (fh_server_t *server);
 
 #endif
--- a/packages/http/source/http-client.c
+++ b/packages/http/source/http-client.c
@@ -150,7 +150,7 @@
   if (!connection->exchange || !connection->exchange->sent)
     fail_connection (connection, FH_NOT_SENT, "no connection within the limit");
   else if (fh_has_headers (connection->reader))
-    fail_connection (connection, FH_CUT, "response went silent");
+    fail_connection (connection, FH_TRUNCATED, "response went silent");
   else
     {
       /* A silent server is no reason to send the request once more. */
@@ -253,7 +253,7 @@
         {
           connection->reused = false;
           fail_connection (connection,
-                           fh_has_headers (connection->reader) ? FH_CUT : FH_NO_ANSWER,
+                           fh_has_headers (connection->reader) ? FH_TRUNCATED : FH_NO_ANSWER,
                            "bytes are no response");
         }
       if (state != FH_READ_DONE)
@@ -281,7 +281,8 @@
       end_response (connection, false);
       return;
     }
-  fail_connection (connection, fh_has_headers (connection->reader) ? FH_CUT : FH_NO_ANSWER,
+  fail_connection (connection,
+                   fh_has_headers (connection->reader) ? FH_TRUNCATED : FH_NO_ANSWER,
                    "connection ended before the response");
 }
 
@@ -440,7 +441,7 @@
 }
 
 static GString *
-format_request (const fh_client_t *client, const fh_outgoing_t *outgoing)
+format_request (const fh_client_t *client, const fh_client_request_t *outgoing)
 {
   GString *text = g_string_sized_new (512 + outgoing->body.len);
 
@@ -482,7 +483,7 @@
 }
 
 void
-fh_limit_connecting (fh_client_t *client, fb_time_t timeout)
+fh_set_connect_timeout (fh_client_t *client, fb_time_t timeout)
 {
   client->connect_ms = (uint64_t)(timeout / FB_MILLISECOND);
 }
@@ -509,11 +510,11 @@
 }
 
 fh_exchange_t *
-fh_send_request (fh_client_t *client, const fh_outgoing_t *outgoing, fh_done_fn_t done,
+fh_send_request (fh_client_t *client, const fh_client_request_t *outgoing, fh_done_fn_t done,
                  void *user)
 {
   fh_exchange_t *exchange = g_new0 (fh_exchange_t, 1);
-  const fh_header_t *echo = &outgoing->echo;
+  const fh_header_t *echo = &outgoing->echoed_header;
 
   exchange->client = client;
   exchange->done = done;
@@ -521,7 +522,7 @@
   exchange->request = format_request (client, outgoing);
   exchange->is_head = fb_equal_str (outgoing->method, FB_LITERAL ("HEAD"));
   exchange->repeatable = outgoing->repeatable;
-  exchange->until_close = outgoing->until_close;
+  exchange->until_close = outgoing->allows_close_delimited;
   if (echo->name.len > 0)
     {
       exchange->echo_text = g_malloc (echo->name.len + echo->value.len + 1);
@@ -534,7 +535,7 @@
     }
   exchange->link.data = exchange;
   g_queue_push_tail_link (&client->exchanges, &exchange->link);
-  start_exchange (exchange, outgoing->fresh);
+  start_exchange (exchange, outgoing->new_connection);
   return exchange;
 }
 
--- a/packages/http/source/http-response.c
+++ b/packages/http/source/http-response.c
@@ -246,6 +246,6 @@
   response->status = reader->parser.status_code;
   response->header_count = reader->header_count;
   response->headers = reader->views;
-  response->unframed = reader->unframed;
+  response->close_delimited = reader->unframed;
   response->body = (fb_bytes_t){ reader->body->data, reader->body->len };
 }
--- a/packages/http/source/http-server.c
+++ b/packages/http/source/http-server.c
@@ -295,7 +295,7 @@
 }
 
 void
-fh_end_connections (fh_server_t *server)
+fh_disable_keep_alive (fh_server_t *server)
 {
   server->ending = true;
 }
@@ -312,7 +312,7 @@
 }
 
 void
-fh_limit_idle (fh_server_t *server, fb_time_t timeout)
+fh_set_idle_timeout (fh_server_t *server, fb_time_t timeout)
 {
   server->context.http1.req_timeout.timeout = (uint64_t)(timeout / FB_MILLISECOND);
 }
@@ -369,7 +369,7 @@
 }
 
 void
-fh_watch_cancel (fh_request_t *request, fh_cancelled_fn_t cancelled, void *user)
+fh_set_cancelled_handler (fh_request_t *request, fh_cancelled_fn_t cancelled, void *user)
 {
   request->cancelled = cancelled;
   request->cancel_user = user;
@@ -412,8 +412,8 @@
 }
 
 void
-fh_respond_unframed (fh_request_t *request, uint32_t status, const fh_header_t *headers,
-                     size_t count, fb_bytes_t body)
+fh_respond_close_delimited (fh_request_t *request, uint32_t status, const fh_header_t *headers,
+                            size_t count, fb_bytes_t body)
 {
   send_response (request, status, headers, count, body, false);
 }
--- a/packages/http/tests/test-http.c
+++ b/packages/http/tests/test-http.c
@@ -62,7 +62,7 @@
   if (fixture->hold)
     {
       fixture->held = request;
-      fh_watch_cancel (request, quit_when_cancelled, fixture);
+      fh_set_cancelled_handler (request, quit_when_cancelled, fixture);
       fk_quit (fixture->kernel);
       return;
     }
@@ -128,10 +128,10 @@
 static fh_exchange_t *
 send_body (fixture_t *fixture, const char *body, size_t len, bool fresh)
 {
-  fh_outgoing_t outgoing = { .method = FB_LITERAL ("POST"),
-                             .path = FB_LITERAL ("/x"),
-                             .body = { (const uint8_t *)body, len },
-                             .fresh = fresh };
+  fh_client_request_t outgoing = { .method = FB_LITERAL ("POST"),
+                                   .path = FB_LITERAL ("/x"),
+                                   .body = { (const uint8_t *)body, len },
+                                   .new_connection = fresh };
 
   return fh_send_request (fixture->client, &outgoing, receive, fixture);
 }
@@ -243,8 +243,8 @@
     { "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc", FH_ANSWERED },
     { "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\n|a|bc", FH_ANSWERED },
     { "HTTP/1.1 204 No Content\r\n\r\n", FH_ANSWERED },
-    { "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nabc", FH_CUT },
-    { "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\n", FH_CUT },
+    { "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nabc", FH_TRUNCATED },
+    { "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\n", FH_TRUNCATED },
     { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
       FH_ANSWERED },
     { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n|3\r\nabc\r\n|0\r\n\r\n",
@@ -255,15 +255,15 @@
       FH_ANSWERED },
     { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n", FH_ANSWERED },
     { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n|0\r\n\r\n", FH_ANSWERED },
-    { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n", FH_CUT },
-    { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n", FH_CUT },
-    { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n|3\r\nabc\r\n", FH_CUT },
-    { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\n|abc\r\n", FH_CUT },
-    { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n|0", FH_CUT },
-    { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n|0\r\n", FH_CUT },
-    { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n|5\r\n", FH_CUT },
-    { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nabc", FH_CUT },
-    { "HTTP/1.1 200 OK\r\n\r\nabc", FH_CUT },
+    { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n", FH_TRUNCATED },
+    { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n", FH_TRUNCATED },
+    { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n|3\r\nabc\r\n", FH_TRUNCATED },
+    { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\n|abc\r\n", FH_TRUNCATED },
+    { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n|0", FH_TRUNCATED },
+    { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n|0\r\n", FH_TRUNCATED },
+    { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n|5\r\n", FH_TRUNCATED },
+    { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nabc", FH_TRUNCATED },
+    { "HTTP/1.1 200 OK\r\n\r\nabc", FH_TRUNCATED },
     { "HTTP/1.1 200 OK\r\ncontent-le", FH_NO_ANSWER },
     { "", FH_NO_ANSWER },
     { "no HTTP at all\r\n\r\n", FH_NO_ANSWER },
--- a/packages/node/source/node-backend.c
+++ b/packages/node/source/node-backend.c
@@ -178,7 +178,7 @@
       answer.outcome = FW_ANSWERED;
       answer.status = response->status;
       answer.body = response->body;
-      answer.close_delimited = response->unframed;
+      answer.close_delimited = response->close_delimited;
       set_answer_headers (&answer, response);
     }
   else if (response->result == FH_NOT_SENT)
@@ -201,13 +201,14 @@
   const fn_dialect_t *dialect = fn_get_adapter (backend->kernel)->dialect;
   const fb_name_t *instance = &backend->local.instance;
   fh_header_t headers[FH_HEADERS_MAX + 2];
-  fh_outgoing_t outgoing = { .method = served->call.method,
-                             .host = served->call.host,
-                             .path = served->call.path,
-                             .headers = headers,
-                             .body = served->call.body,
-                             .fresh = served->has_ticket || served->call.at_most_once,
-                             .until_close = dialect->unframed };
+  fh_client_request_t outgoing
+      = { .method = served->call.method,
+          .host = served->call.host,
+          .path = served->call.path,
+          .headers = headers,
+          .body = served->call.body,
+          .new_connection = served->has_ticket || served->call.at_most_once,
+          .allows_close_delimited = dialect->unframed };
   size_t count = served->call.header_count;
   char remaining[24];
 
@@ -218,7 +219,7 @@
   if (dialect->instance.len > 0 && instance->len > 0)
     headers[count++] = (fh_header_t){ dialect->instance, fb_get_name (instance) };
   if (dialect->repeats_id)
-    outgoing.echo = (fh_header_t){ dialect->request_id, served->call.request_id };
+    outgoing.echoed_header = (fh_header_t){ dialect->request_id, served->call.request_id };
   outgoing.header_count = count;
   served->started = now;
   fb_observe_time (backend->waits, now - served->arrived);
@@ -392,7 +393,7 @@
         = fh_create_client (kernel, &settings->backend.address, settings->backend.port,
                             IDLE_CONNECTIONS_MAX, FW_ANSWER_BODY_MAX, BACKEND_IO_TIMEOUT);
   if (backend->client)
-    fh_limit_connecting (backend->client, CONNECT_TIMEOUT);
+    fh_set_connect_timeout (backend->client, CONNECT_TIMEOUT);
   backend->tick = fk_create_timer (kernel, TICK_PERIOD, tick_backend, backend);
   return FB_OK;
 }
--- a/packages/node/source/node-calls.c
+++ b/packages/node/source/node-calls.c
@@ -153,7 +153,7 @@
   if (handle == 0)
     return;
   remote->handle = handle;
-  fh_watch_cancel (request, cancel_remote, remote);
+  fh_set_cancelled_handler (request, cancel_remote, remote);
 }
 
 static fb_time_t
@@ -206,7 +206,7 @@
       peer->calls = calls;
       peer->client = fh_create_client (calls->kernel, &node->address, node->call_port, IDLE_MAX,
                                        FW_ANSWER_BODY_MAX + HEADER_MAX, IO_TIMEOUT);
-      fh_limit_connecting (peer->client, CONNECT_TIMEOUT);
+      fh_set_connect_timeout (peer->client, CONNECT_TIMEOUT);
       peer->prober = fh_create_client (calls->kernel, &node->address, node->call_port, 0, 0,
                                        PROBE_TIMEOUT);
       g_hash_table_insert (calls->peers, key, peer);
@@ -273,7 +273,8 @@
 static void
 probe_peer (peer_t *peer, fb_time_t now)
 {
-  fh_outgoing_t outgoing = { .method = FB_LITERAL ("GET"), .path = FB_LITERAL (ALIVE_PATH) };
+  fh_client_request_t outgoing
+      = { .method = FB_LITERAL ("GET"), .path = FB_LITERAL (ALIVE_PATH) };
 
   if (peer->probing || now - peer->probed < PROBE_PERIOD)
     return;
@@ -335,10 +336,10 @@
 {
   sent_t *sent = g_new0 (sent_t, 1);
   GByteArray *bytes = fw_pack_call (call);
-  fh_outgoing_t outgoing = { .method = FB_LITERAL ("POST"),
-                             .path = FB_LITERAL (CALL_PATH),
-                             .body = { bytes->data, bytes->len },
-                             .repeatable = !call->at_most_once };
+  fh_client_request_t outgoing = { .method = FB_LITERAL ("POST"),
+                                   .path = FB_LITERAL (CALL_PATH),
+                                   .body = { bytes->data, bytes->len },
+                                   .repeatable = !call->at_most_once };
 
   sent->calls = calls;
   sent->id = call->id;
--- a/packages/node/source/node-drain.c
+++ b/packages/node/source/node-drain.c
@@ -84,7 +84,7 @@
   drain->began = fb_read_clock (fk_get_clock (kernel));
   FB_LOG (fk_get_log (kernel), FB_LOG_INFO, FN_DRAIN, "draining",
           FB_NUMBER ("open_calls", count_open_calls (kernel)));
-  fn_end_connections (fk_find_service (kernel, FN_ENTRY));
+  fn_disable_keep_alive (fk_find_service (kernel, FN_ENTRY));
   /* Without a membership protocol the other nodes learn of it by the first refused call. Until
    * the entry closes, the backend server beside this node goes on taking calls. */
   if (!fn_get_adapter (kernel)->listed)
--- a/packages/node/source/node-entry.c
+++ b/packages/node/source/node-entry.c
@@ -54,7 +54,7 @@
     }
   fb_add_counter (entry->outcomes[answer->outcome], 1);
   if (answer->close_delimited)
-    fh_respond_unframed (request, answer->status, headers, count, body);
+    fh_respond_close_delimited (request, answer->status, headers, count, body);
   else
     fh_respond (request, answer->status, headers, count, body);
   if (text)
@@ -412,9 +412,10 @@
       refuse_request (entry, request, 429, "service is overloaded for this rank", request_id);
       return;
     }
-  fh_limit_idle (entry->server, (fb_time_t)fc_get_idle_timeout_ms (snapshot) * FB_MILLISECOND);
+  fh_set_idle_timeout (entry->server,
+                       (fb_time_t)fc_get_idle_timeout_ms (snapshot) * FB_MILLISECOND);
   call = create_call (entry, request, snapshot, route, part, request_id);
-  fh_watch_cancel (request, cancel_call, call);
+  fh_set_cancelled_handler (request, cancel_call, call);
   call->below_repeat = fn_is_below_repeat (fk_find_service (entry->kernel, FN_BACKEND),
                                            fb_wrap_text (request_id));
   if (call->below_repeat)
@@ -526,10 +527,10 @@
 }
 
 void
-fn_end_connections (fn_entry_t *entry)
+fn_disable_keep_alive (fn_entry_t *entry)
 {
   if (entry->server)
-    fh_end_connections (entry->server);
+    fh_disable_keep_alive (entry->server);
 }
 
 void
--- a/packages/node/source/node-feed.c
+++ b/packages/node/source/node-feed.c
@@ -180,7 +180,7 @@
   fh_destroy_client (feed->relay);
   feed->relay
       = fh_create_client (feed->kernel, &peer->address, peer->call_port, 1, NEWS_MAX, limit);
-  fh_limit_connecting (feed->relay, CONNECT_TIMEOUT);
+  fh_set_connect_timeout (feed->relay, CONNECT_TIMEOUT);
   feed->relay_address = peer->address;
 }
 
@@ -190,10 +190,10 @@
   fn_feed_t *feed = user;
   size_t length;
   uint8_t *bytes = fw_encode_feed (ask, &length);
-  fh_outgoing_t outgoing = { .method = FB_LITERAL ("POST"),
-                             .path = FB_LITERAL (FN_NEWS_PATH),
-                             .body = { bytes, length },
-                             .repeatable = true };
+  fh_client_request_t outgoing = { .method = FB_LITERAL ("POST"),
+                                   .path = FB_LITERAL (FN_NEWS_PATH),
+                                   .body = { bytes, length },
+                                   .repeatable = true };
 
   set_relay (feed, peer);
   fh_send_request (feed->relay, &outgoing, receive_news, feed);
@@ -230,7 +230,7 @@
       fh_respond (request, 400, NULL, 0, (fb_bytes_t){ NULL, 0 });
       return;
     }
-  fh_watch_cancel (request, drop_ask, feed);
+  fh_set_cancelled_handler (request, drop_ask, feed);
   if (ask.kind == FW_FEED_REQUEST)
     fd_handle_request (feed->feed, request, &ask);
   else
--- a/packages/node/source/node-services.h
+++ b/packages/node/source/node-services.h
@@ -159,7 +159,7 @@
 void fn_register_entry (fk_kernel_t *kernel);
 
 /* From now on each answer ends its caller's connection. */
-void fn_end_connections (fn_entry_t *entry);
+void fn_disable_keep_alive (fn_entry_t *entry);
 
 /* Stops taking callers' connections and refuses requests on those that are open. */
 void fn_close_entry (fn_entry_t *entry);
--- a/packages/node/source/node-source.c
+++ b/packages/node/source/node-source.c
@@ -132,7 +132,7 @@
 static fh_exchange_t *
 send_get (consul_t *source, const char *path, fh_done_fn_t done)
 {
-  fh_outgoing_t outgoing = { .method = FB_LITERAL ("GET"), .path = fb_wrap_text (path) };
+  fh_client_request_t outgoing = { .method = FB_LITERAL ("GET"), .path = fb_wrap_text (path) };
 
   fb_add_counter (source->calls, 1);
   return fh_send_request (source->client, &outgoing, done, source);
--- a/packages/transport/include/foxtailrun/transport/udp.h
+++ b/packages/transport/include/foxtailrun/transport/udp.h
@@ -8,11 +8,11 @@
 typedef struct ft_udp ft_udp_t;
 
 /* Receives one datagram, borrowed. */
-typedef void (*ft_receive_fn_t) (fb_bytes_t datagram, void *user);
+typedef void (*ft_datagram_fn_t) (fb_bytes_t datagram, void *user);
 
 /* Binds ADDRESS and PORT; returns NULL with the error logged when it cannot. */
 ft_udp_t *ft_create_udp (fk_kernel_t *kernel, const fb_name_t *address, uint16_t port,
-                         ft_receive_fn_t receive, void *user);
+                         ft_datagram_fn_t receive, void *user);
 
 /* Closes the socket and frees it; NULL is allowed. */
 void ft_destroy_udp (ft_udp_t *udp);
--- a/packages/transport/source/transport-bus.c
+++ b/packages/transport/source/transport-bus.c
@@ -40,7 +40,7 @@
   fk_kernel_t *kernel;
   char *name;
   void *context;
-  ft_received_fn_t received_hook;
+  ft_message_fn_t received_hook;
   void *user;
   ft_socket_t *router;
   GHashTable *peers; /* "address:port" to peer_t */
@@ -142,8 +142,8 @@
 static void
 set_heartbeat (void *socket)
 {
-  int interval = FT_SILENCE_MS / 3;
-  int silence = FT_SILENCE_MS;
+  int interval = FT_HEARTBEAT_TIMEOUT_MS / 3;
+  int silence = FT_HEARTBEAT_TIMEOUT_MS;
   int high = HIGH_WATER_MARK;
 
   zmq_setsockopt (socket, ZMQ_HEARTBEAT_IVL, &interval, sizeof interval);
@@ -260,7 +260,7 @@
 
 ft_bus_t *
 ft_create_bus (fk_kernel_t *kernel, const char *name, const fb_name_t *address, uint16_t port,
-               ft_received_fn_t received, void *user)
+               ft_message_fn_t received, void *user)
 {
   char endpoint[96];
   int linger = LINGER_MS;
--- a/packages/transport/source/transport-udp.c
+++ b/packages/transport/source/transport-udp.c
@@ -9,7 +9,7 @@
 {
   uv_udp_t handle;
   fk_kernel_t *kernel;
-  ft_receive_fn_t receive;
+  ft_datagram_fn_t receive;
   void *user;
   fb_counter_t *sent;
   fb_counter_t *received;
@@ -52,7 +52,7 @@
 
 ft_udp_t *
 ft_create_udp (fk_kernel_t *kernel, const fb_name_t *address, uint16_t port,
-               ft_receive_fn_t receive, void *user)
+               ft_datagram_fn_t receive, void *user)
 {
   struct sockaddr_storage bound;
   ft_udp_t *udp = g_new0 (ft_udp_t, 1);
--- a/standins/standin-backend.c
+++ b/standins/standin-backend.c
@@ -162,7 +162,7 @@
   job->path = path;
   job->body = g_strndup ((const char *)body.data, body.len);
   job->run = count_run (backend, path);
-  fh_watch_cancel (request, forget_request, job);
+  fh_set_cancelled_handler (request, forget_request, job);
   job->timer
       = fk_create_timeout (backend->kernel, read_service_time (backend, path), finish_job, job);
 }
--- a/standins/standin-caller.c
+++ b/standins/standin-caller.c
@@ -175,7 +175,7 @@
 {
   caller_t *caller = exchange->caller;
   fh_header_t headers[2];
-  fh_outgoing_t outgoing
+  fh_client_request_t outgoing
       = { .method = fb_wrap_text (caller->method),
           .path = fb_wrap_text (exchange->path),
           .headers = headers,
--- a/standins/standin-platform.c
+++ b/standins/standin-platform.c
@@ -114,7 +114,7 @@
   watch->expires = fb_read_clock (fk_get_clock (platform->kernel))
                    + (fb_time_t)MIN (wait, WAIT_MAX_S) * FB_SECOND;
   g_ptr_array_add (platform->watches, watch);
-  fh_watch_cancel (request, forget_watch, platform);
+  fh_set_cancelled_handler (request, forget_watch, platform);
 }
 
 static void
@@ -154,7 +154,7 @@
       if (!platform->down && watch->index >= watch->value->revision && now < watch->expires)
         continue;
       g_ptr_array_remove_index_fast (platform->watches, i);
-      fh_watch_cancel (watch->request, NULL, NULL);
+      fh_set_cancelled_handler (watch->request, NULL, NULL);
       if (platform->down)
         respond_text (watch->request, 500, "down\n");
       else
--- a/standins/standin-store.c
+++ b/standins/standin-store.c
@@ -243,7 +243,7 @@
       free_watch (watch);
       return;
     }
-  fh_watch_cancel (request, cancel_watch, store);
+  fh_set_cancelled_handler (request, cancel_watch, store);
   g_ptr_array_add (store->watches, watch);
 }
 
