--- a/packages/dist/tests/test-fleet.c
+++ b/packages/dist/tests/test-fleet.c
@@ -129,7 +129,7 @@
   bool heal = g_rand_boolean (run->random);
 
   for (size_t i = 0; i < run->fleet->count; i++)
-    run->fleet->hosts[i].side = heal ? 0 : (uint32_t)g_rand_int_range (run->random, 0, 2);
+    run->fleet->hosts[i].partition = heal ? 0 : (uint32_t)g_rand_int_range (run->random, 0, 2);
 }
 
 static void
@@ -150,7 +150,7 @@
       sf_reset_index (run->fleet);
       break;
     default:
-      sf_heal_source (run->fleet);
+      sf_restore_source (run->fleet);
     }
 }
 
@@ -218,9 +218,9 @@
 
   fleet->link = (sf_link_t){ .delay_min = FB_MILLISECOND, .delay_max = 5 * FB_MILLISECOND };
   for (size_t i = 0; i < fleet->count; i++)
-    fleet->hosts[i].side = 0;
+    fleet->hosts[i].partition = 0;
   resume_due (run, true);
-  sf_heal_source (fleet);
+  sf_restore_source (fleet);
   /* Without a valid document anywhere no node can become ready. */
   publish_next (run);
 }
--- a/packages/node/include/foxtailrun/node/adapter.h
+++ b/packages/node/include/foxtailrun/node/adapter.h
@@ -18,8 +18,9 @@
   fb_str_t caller;     /* to backend servers: service on the host where the request began */
   fb_str_t instance;   /* to backend servers: the only instance that may run the request */
   fb_str_t not_run;    /* from backend servers: the request was refused without being run */
-  bool unframed;   /* a backend server may end a body without a length with its connection */
-  bool repeats_id; /* backend servers repeat the request id in their answers */
+  bool allows_close_delimited; /* a backend server may end a body without a length with its
+                                  connection */
+  bool echoes_request_id;      /* backend servers repeat the request id in their answers */
   bool resolves_paths; /* backend servers resolve dot segments and escapes, so that a path that
                           needs it could reach another route than the one found for it */
 } fn_dialect_t;
@@ -45,7 +46,7 @@
   void *user;
   /* The source lists the endpoints and every node reads it: there is no membership protocol,
    * and no other node is asked for documents. */
-  bool listed;
+  bool source_lists_endpoints;
 } fn_adapter_t;
 
 /* A store that lists endpoints and holds the configuration, as an adapter reads it. */
@@ -79,7 +80,7 @@
 
 /* Takes the current description of an endpoint: FW_ALIVE may be called, FW_LEAVING gets no new
  * calls, FW_DEAD is forgotten. */
-void fn_put_endpoint (fk_kernel_t *kernel, const fw_member_t *endpoint);
+void fn_update_endpoint (fk_kernel_t *kernel, const fw_member_t *endpoint);
 
 /* The backend server beside this node, as the platform describes it. */
 typedef struct
@@ -87,9 +88,9 @@
   fb_name_t instance; /* empty when the platform lists none */
   uint32_t slots;     /* calls that it runs at once; 0 when not known */
   bool leaving;
-} fn_local_t;
+} fn_local_backend_t;
 
 /* Takes the current description of the backend server beside this node. */
-void fn_set_local (fk_kernel_t *kernel, const fn_local_t *local);
+void fn_set_local_backend (fk_kernel_t *kernel, const fn_local_backend_t *local);
 
 #endif
--- a/packages/node/source/node-admin.c
+++ b/packages/node/source/node-admin.c
@@ -40,7 +40,7 @@
 static bool
 is_ready (admin_t *admin)
 {
-  return fn_check_ready (find_distribution (admin)) && !fn_is_draining (admin->kernel);
+  return fn_is_ready (find_distribution (admin)) && !fn_is_draining (admin->kernel);
 }
 
 static json_t *
@@ -65,7 +65,7 @@
   return json_pack ("{s:s,s:s,s:I,s:I,s:s,s:b,s:b,s:s?}", "id", settings->id.data, "zone",
                     settings->zone.data, "number", (json_int_t)version->number, "revision",
                     (json_int_t)version->revision, "digest", digest, "reader",
-                    fn_check_reader (distribution), "ready", is_ready (admin), "refused",
+                    fn_is_reader (distribution), "ready", is_ready (admin), "refused",
                     fn_get_refusal (distribution));
 }
 
--- a/packages/node/source/node-backend-ticket.c
+++ b/packages/node/source/node-backend-ticket.c
@@ -5,7 +5,7 @@
 
 /* Answers every call that waits for the same ticket as ENDED. */
 static void
-answer_joined (fn_served_t *ended, const fw_call_t *answer)
+answer_joined (fn_backend_call_t *ended, const fw_call_t *answer)
 {
   GPtrArray *joined = g_ptr_array_new ();
   GHashTableIter iter;
@@ -14,21 +14,21 @@
   g_hash_table_iter_init (&iter, ended->backend->calls);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      fn_served_t *other = value;
+      fn_backend_call_t *other = value;
       if (other->state == FN_CALL_JOINED && other->ticket.serial == ended->ticket.serial)
         g_ptr_array_add (joined, other);
     }
   for (guint i = 0; i < joined->len; i++)
     {
       fw_call_t copy = *answer;
-      fn_answer_served (g_ptr_array_index (joined, i), &copy);
+      fn_answer_backend_call (g_ptr_array_index (joined, i), &copy);
     }
   g_ptr_array_free (joined, TRUE);
 }
 
 /* Records the end of a call that runs at most once. */
 static void
-record_end (fn_served_t *served, const fw_call_t *answer)
+record_end (fn_backend_call_t *served, const fw_call_t *answer)
 {
   fr_once_t *once = served->backend->once;
   GByteArray *packed;
@@ -59,7 +59,7 @@
 
 /* Answers a call with a ticket from what is known of the ticket's use. */
 static void
-answer_known (fn_served_t *served, fr_once_state_t state, fb_bytes_t recorded,
+answer_known (fn_backend_call_t *served, fr_once_state_t state, fb_bytes_t recorded,
               const char *refusal)
 {
   fw_call_t answer = { 0 };
@@ -72,7 +72,7 @@
     case FR_ONCE_ANSWERED:
       fb_add_counter (served->backend->replayed, 1);
       if (fw_unpack_call (recorded, &answer) == FB_OK)
-        fn_answer_served (served, &answer);
+        fn_answer_backend_call (served, &answer);
       else
         fn_answer_outcome (served, FW_UNKNOWN, 504, "recorded answer is not readable");
       return;
@@ -93,14 +93,14 @@
 }
 
 void
-fn_refuse_served (fn_served_t *served, uint32_t status, const char *reason)
+fn_refuse_backend_call (fn_backend_call_t *served, uint32_t status, const char *reason)
 {
   fb_bytes_t recorded;
   fr_once_state_t state;
 
   if (!served->has_ticket)
     {
-      fn_refuse_elsewhere (served, status, reason);
+      fn_refuse_for_retry_elsewhere (served, status, reason);
       return;
     }
   state = fr_refuse_once (served->backend->once, &served->ticket,
@@ -109,7 +109,7 @@
 }
 
 void
-fn_send_ticket (fn_served_t *served)
+fn_send_ticket (fn_backend_call_t *served)
 {
   char ticket[FR_TICKET_MAX];
   fw_call_t answer = { .outcome = FW_NOT_RUN,
@@ -119,11 +119,11 @@
 
   fr_issue_ticket (served->backend->once, ticket);
   answer.headers[0] = (fw_header_t){ FB_LITERAL ("foxtailrun-ticket"), fb_wrap_text (ticket) };
-  fn_answer_served (served, &answer);
+  fn_answer_backend_call (served, &answer);
 }
 
 bool
-fn_begin_ticket (fn_served_t *served)
+fn_begin_ticket (fn_backend_call_t *served)
 {
   fb_bytes_t recorded;
   fr_once_state_t state = fr_begin_once (served->backend->once, &served->ticket,
@@ -136,7 +136,7 @@
 }
 
 void
-fn_end_ticket (fn_served_t *served, const fw_call_t *answer)
+fn_end_ticket (fn_backend_call_t *served, const fw_call_t *answer)
 {
   record_end (served, answer);
   answer_joined (served, answer);
--- a/packages/node/source/node-backend.c
+++ b/packages/node/source/node-backend.c
@@ -31,7 +31,7 @@
 static void
 free_served (void *data)
 {
-  fn_served_t *served = data;
+  fn_backend_call_t *served = data;
 
   g_free (served->header);
   g_free (served->body);
@@ -40,7 +40,7 @@
 
 /* Returns the index of the call's rank; the least urgent when the snapshot does not know it. */
 static uint32_t
-find_rank (const fn_served_t *served)
+find_rank (const fn_backend_call_t *served)
 {
   const fc_snapshot_t *snapshot
       = fn_get_snapshot (fk_find_service (served->backend->kernel, FN_DISTRIBUTION));
@@ -53,7 +53,7 @@
 
 /* Writes why a call ended without the backend server's answer. */
 static void
-log_served (const fn_served_t *served, const fw_call_t *answer)
+log_served (const fn_backend_call_t *served, const fw_call_t *answer)
 {
   fn_backend_t *backend = served->backend;
   fb_time_t now = fb_read_clock (fk_get_clock (backend->kernel));
@@ -64,14 +64,14 @@
           FB_STR ("rank", served->call.rank),
           FB_NUMBER ("running", served->state == FN_CALL_RUNNING),
           FB_NUMBER ("left_ms", (served->deadline - now) / FB_MILLISECOND),
-          FB_NUMBER ("target_left_ms", (served->aim - now) / FB_MILLISECOND),
+          FB_NUMBER ("target_left_ms", (served->target_time - now) / FB_MILLISECOND),
           FB_NUMBER ("started", fr_count_started (backend->admission)),
           FB_NUMBER ("waiting", fr_count_waiting (backend->admission)),
           FB_NUMBER ("wait_ms", answer->wait_us / 1000));
 }
 
 void
-fn_answer_served (fn_served_t *served, fw_call_t *answer)
+fn_answer_backend_call (fn_backend_call_t *served, fw_call_t *answer)
 {
   fn_backend_t *backend = served->backend;
 
@@ -87,7 +87,7 @@
 }
 
 void
-fn_answer_outcome (fn_served_t *served, fw_outcome_t outcome, uint32_t status,
+fn_answer_outcome (fn_backend_call_t *served, fw_outcome_t outcome, uint32_t status,
                    const char *reason)
 {
   fw_call_t answer = { .outcome = outcome, .status = status, .reason = fb_wrap_text (reason) };
@@ -96,11 +96,11 @@
     fb_add_counter (served->backend->refused, 1);
   else if (outcome == FW_UNKNOWN)
     fb_add_counter (served->backend->unknown, 1);
-  fn_answer_served (served, &answer);
+  fn_answer_backend_call (served, &answer);
 }
 
 void
-fn_refuse_elsewhere (fn_served_t *served, uint32_t status, const char *reason)
+fn_refuse_for_retry_elsewhere (fn_backend_call_t *served, uint32_t status, const char *reason)
 {
   fw_call_t answer = { .outcome = FW_NOT_RUN,
                        .status = status,
@@ -108,14 +108,14 @@
                        .retry_elsewhere = true };
 
   fb_add_counter (served->backend->refused, 1);
-  fn_answer_served (served, &answer);
+  fn_answer_backend_call (served, &answer);
 }
 
 static void
-end_running (fn_served_t *served, fw_call_t *answer)
+end_running (fn_backend_call_t *served, fw_call_t *answer)
 {
   fn_backend_t *backend = served->backend;
-  fb_time_t service = fb_read_clock (fk_get_clock (backend->kernel)) - served->started;
+  fb_time_t service = fb_read_clock (fk_get_clock (backend->kernel)) - served->started_at;
 
   served->exchange = NULL;
   answer->kind = FW_ANSWER;
@@ -127,7 +127,7 @@
   if (served->has_ticket)
     fn_end_ticket (served, answer);
   fr_finish_call (backend->admission, served->handle);
-  fn_answer_served (served, answer);
+  fn_answer_backend_call (served, answer);
 }
 
 static void
@@ -164,7 +164,7 @@
 static void
 end_exchange (const fh_response_t *response, void *user)
 {
-  fn_served_t *served = user;
+  fn_backend_call_t *served = user;
   fw_call_t answer = { .status = 502, .reason = fb_wrap_text (response->error) };
 
   if (response->result == FH_ANSWERED && is_not_run (served->backend, response))
@@ -194,7 +194,7 @@
 }
 
 static void
-send_to_backend (fn_served_t *served)
+send_to_backend (fn_backend_call_t *served)
 {
   fn_backend_t *backend = served->backend;
   fb_time_t now = fb_read_clock (fk_get_clock (backend->kernel));
@@ -208,7 +208,7 @@
           .headers = headers,
           .body = served->call.body,
           .new_connection = served->has_ticket || served->call.at_most_once,
-          .allows_close_delimited = dialect->unframed };
+          .allows_close_delimited = dialect->allows_close_delimited };
   size_t count = served->call.header_count;
   char remaining[24];
 
@@ -218,11 +218,11 @@
   headers[count++] = (fh_header_t){ dialect->timeout_ms, fb_wrap_text (remaining) };
   if (dialect->instance.len > 0 && instance->len > 0)
     headers[count++] = (fh_header_t){ dialect->instance, fb_get_name (instance) };
-  if (dialect->repeats_id)
+  if (dialect->echoes_request_id)
     outgoing.echoed_header = (fh_header_t){ dialect->request_id, served->call.request_id };
   outgoing.header_count = count;
-  served->started = now;
-  fb_observe_time (backend->waits, now - served->arrived);
+  served->started_at = now;
+  fb_observe_time (backend->waits, now - served->arrived_at);
   served->state = FN_CALL_RUNNING;
   fb_add_counter (backend->started, 1);
   served->exchange = fh_send_request (backend->client, &outgoing, end_exchange, served);
@@ -238,7 +238,7 @@
 static void
 refuse_call (void *call, fr_refusal_t refusal, void *user)
 {
-  fn_served_t *served = call;
+  fn_backend_call_t *served = call;
   fw_call_t answer = { .outcome = FW_NOT_RUN,
                        .status = refusal == FR_REFUSED_FULL ? 429 : 503,
                        .reason = fb_wrap_text (fr_describe_refusal (refusal)),
@@ -247,7 +247,7 @@
   fb_add_counter (served->backend->refused, 1);
   if (served->has_ticket)
     fn_end_ticket (served, &answer);
-  fn_answer_served (served, &answer);
+  fn_answer_backend_call (served, &answer);
 }
 
 /* Takes over the ranks and slots of the snapshot in force when they changed. */
@@ -290,13 +290,13 @@
   g_hash_table_iter_init (&iter, backend->calls);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      fn_served_t *served = value;
+      fn_backend_call_t *served = value;
       if (served->state == FN_CALL_RUNNING && !served->has_ticket && now >= served->deadline)
         g_ptr_array_add (late, served);
     }
   for (guint i = 0; i < late->len; i++)
     {
-      fn_served_t *served = g_ptr_array_index (late, i);
+      fn_backend_call_t *served = g_ptr_array_index (late, i);
       fw_call_t answer = { .outcome = served->call.at_most_once ? FW_UNKNOWN : FW_FAILED,
                            .status = 504,
                            .reason = FB_LITERAL ("deadline passed at the backend server") };
@@ -316,14 +316,14 @@
   const fc_settings_t *settings = fn_get_settings (backend->kernel);
   fc_snapshot_t *snapshot;
 
-  if (!fn_check_ready (distribution))
+  if (!fn_is_ready (distribution))
     return "node is not ready";
   snapshot = fn_get_snapshot (distribution);
   if (!backend->client || !snapshot
       || !fb_equal_str (call->service, fb_get_name (&settings->service))
       || !fc_find_service (snapshot, call->service, NULL))
     return "service is not served here";
-  if (fn_get_adapter (backend->kernel)->listed
+  if (fn_get_adapter (backend->kernel)->source_lists_endpoints
       && (backend->local.instance.len == 0 || backend->local.leaving))
     return "backend server is leaving or gone";
   if (fb_read_clock (fk_get_clock (backend->kernel)) < backend->avoid_until)
@@ -343,10 +343,10 @@
   return route && !route->repeatable && route->ticket;
 }
 
-static fn_served_t *
+static fn_backend_call_t *
 copy_call (fn_backend_t *backend, const fw_call_t *call)
 {
-  fn_served_t *served = g_new0 (fn_served_t, 1);
+  fn_backend_call_t *served = g_new0 (fn_backend_call_t, 1);
   fb_time_t now;
   size_t length;
 
@@ -358,21 +358,23 @@
                                 (fb_bytes_t){ served->body, call->body.len }, &served->call)
                 == FB_OK);
   now = fb_read_clock (fk_get_clock (backend->kernel));
-  served->arrived = now;
+  served->arrived_at = now;
   served->deadline = now + (fb_time_t)MIN (call->remaining_us, TIME_MAX_US) * FB_MICROSECOND;
-  served->aim = now + (fb_time_t)MIN (call->target_left_us, TIME_MAX_US) * FB_MICROSECOND;
+  served->target_time
+      = now + (fb_time_t)MIN (call->target_left_us, TIME_MAX_US) * FB_MICROSECOND;
   return served;
 }
 
 /* Queues SERVED for a slot. A ticket is recorded as running from here on, so that a copy of the
  * request joins this one instead of taking a slot. */
 static void
-offer_served (fn_served_t *served)
+offer_served (fn_backend_call_t *served)
 {
   fn_backend_t *backend = served->backend;
   fc_snapshot_t *snapshot
       = fn_get_snapshot (fk_find_service (backend->kernel, FN_DISTRIBUTION));
-  fr_call_times_t times = { served->deadline, served->aim, served->call.is_caller_retry };
+  fr_call_times_t times
+      = { served->deadline, served->target_time, served->call.is_caller_retry };
 
   if (served->has_ticket && !fn_begin_ticket (served))
     return;
@@ -408,7 +410,7 @@
   g_hash_table_iter_init (&iter, backend->calls);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      fn_served_t *served = value;
+      fn_backend_call_t *served = value;
       if (served->exchange)
         fh_cancel_exchange (served->exchange);
       served->exchange = NULL;
@@ -444,7 +446,7 @@
 
   randombytes_buf (secret, sizeof secret);
   backend->kernel = kernel;
-  fb_set_log_limit (fk_get_log (kernel), FN_SERVED, FN_CALL_LINES);
+  fb_set_log_limit (fk_get_log (kernel), FN_SERVED, FN_CALL_LOG_LINES_MAX);
   backend->calls = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, free_served);
   backend->admission = fr_create_admission (FR_POLICY_SHARES, 1, &rule, 1,
                                             fk_get_clock (kernel), counters, &hooks);
@@ -470,7 +472,7 @@
   g_hash_table_iter_init (&iter, backend->calls);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const fn_served_t *served = value;
+      const fn_backend_call_t *served = value;
 
       if (served->state == FN_CALL_WAITING)
         g_array_append_val (handles, served->handle);
@@ -481,7 +483,7 @@
 }
 
 void
-fn_set_local (fk_kernel_t *kernel, const fn_local_t *local)
+fn_set_local_backend (fk_kernel_t *kernel, const fn_local_backend_t *local)
 {
   fn_backend_t *backend = fk_find_service (kernel, FN_BACKEND);
 
@@ -502,9 +504,9 @@
                void *user)
 {
   const char *obstacle = find_obstacle (backend, call);
-  bool wants_ticket = fb_equal_str (call->ticket, FN_TICKET_WANTED)
+  bool wants_ticket = fb_equal_str (call->ticket, FN_TICKET_REQUEST)
                       || (!obstacle && call->ticket.len == 0 && needs_ticket (backend, call));
-  fn_served_t *served = copy_call (backend, call);
+  fn_backend_call_t *served = copy_call (backend, call);
   uint64_t handle = served->handle;
 
   served->answered = answered;
@@ -515,7 +517,7 @@
   if (served->has_ticket && fr_parse_ticket (call->ticket, &served->ticket) != FB_OK)
     fn_answer_outcome (served, FW_NOT_RUN, 422, "malformed ticket");
   else if (obstacle)
-    fn_refuse_served (served, 503, obstacle);
+    fn_refuse_backend_call (served, 503, obstacle);
   else if (wants_ticket)
     fn_send_ticket (served);
   else
@@ -526,7 +528,7 @@
 void
 fn_cancel_call (fn_backend_t *backend, uint64_t handle)
 {
-  fn_served_t *served = g_hash_table_lookup (backend->calls, &handle);
+  fn_backend_call_t *served = g_hash_table_lookup (backend->calls, &handle);
   fw_call_t answer = { .outcome = FW_FAILED };
 
   if (!served)
@@ -542,7 +544,7 @@
 }
 
 bool
-fn_is_below_repeat (fn_backend_t *backend, fb_str_t request_id)
+fn_is_parent_repeat (fn_backend_t *backend, fb_str_t request_id)
 {
   GHashTableIter iter;
   gpointer value;
@@ -555,7 +557,7 @@
   g_hash_table_iter_init (&iter, backend->calls);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const fw_call_t *call = &((const fn_served_t *)value)->call;
+      const fw_call_t *call = &((const fn_backend_call_t *)value)->call;
 
       if (call->earlier_attempt_arrived
           && fb_equal_str (call->request_id, (fb_str_t){ request_id.data, length - 1 }))
--- a/packages/node/source/node-backend.h
+++ b/packages/node/source/node-backend.h
@@ -27,15 +27,15 @@
   uint8_t *body;
   fw_call_t call; /* refers to HEADER and BODY */
   fb_time_t deadline;
-  fb_time_t aim; /* until which the answer is in time */
-  fb_time_t arrived;
-  fb_time_t started;
+  fb_time_t target_time; /* until which the answer is in time */
+  fb_time_t arrived_at;
+  fb_time_t started_at;
   bool has_ticket;
   fr_ticket_t ticket;
   fh_exchange_t *exchange;
   fn_answered_fn_t answered; /* NULL once cancelled */
   void *user;
-} fn_served_t;
+} fn_backend_call_t;
 
 struct fn_backend
 {
@@ -44,11 +44,11 @@
   fr_once_t *once;
   fh_client_t *client;
   fk_timer_t *tick;
-  GHashTable *calls; /* fn_served_t by handle */
+  GHashTable *calls; /* fn_backend_call_t by handle */
   uint64_t last_handle;
-  fc_snapshot_t *rules;  /* whose ranks and slots admission has; NULL when they are to be set */
-  fn_local_t local;      /* the backend server as the platform describes it */
-  fb_time_t avoid_until; /* no connection was had; calls are refused until then */
+  fc_snapshot_t *rules; /* whose ranks and slots admission has; NULL when they are to be set */
+  fn_local_backend_t local; /* the backend server as the platform describes it */
+  fb_time_t avoid_until;    /* no connection was had; calls are refused until then */
   bool draining;
   bool closed;
   fb_counter_t *started;
@@ -60,28 +60,29 @@
 };
 
 /* Answers a call and forgets it. */
-void fn_answer_served (fn_served_t *served, fw_call_t *answer);
+void fn_answer_backend_call (fn_backend_call_t *served, fw_call_t *answer);
 
 /* Answers a call with an outcome made here. */
-void fn_answer_outcome (fn_served_t *served, fw_outcome_t outcome, uint32_t status,
+void fn_answer_outcome (fn_backend_call_t *served, fw_outcome_t outcome, uint32_t status,
                         const char *reason);
 
 /* Refuses a call for a reason that other instances need not share. */
-void fn_refuse_elsewhere (fn_served_t *served, uint32_t status, const char *reason);
+void fn_refuse_for_retry_elsewhere (fn_backend_call_t *served, uint32_t status,
+                                    const char *reason);
 
 /* Begins the use of a call's ticket; returns false when the call was answered, or joined to a
  * running one, from what is known of the ticket. */
-bool fn_begin_ticket (fn_served_t *served);
+bool fn_begin_ticket (fn_backend_call_t *served);
 
 /* Records the end of the use that fn_begin_ticket began and answers the calls that joined it.
  */
-void fn_end_ticket (fn_served_t *served, const fw_call_t *answer);
+void fn_end_ticket (fn_backend_call_t *served, const fw_call_t *answer);
 
 /* Refuses a call that was not taken. With a ticket, "not run" is told only when no earlier use
  * ran, and the ticket never runs later. */
-void fn_refuse_served (fn_served_t *served, uint32_t status, const char *reason);
+void fn_refuse_backend_call (fn_backend_call_t *served, uint32_t status, const char *reason);
 
 /* Answers a call that needs a ticket with a new one. */
-void fn_send_ticket (fn_served_t *served);
+void fn_send_ticket (fn_backend_call_t *served);
 
 #endif
--- a/packages/node/source/node-calls.c
+++ b/packages/node/source/node-calls.c
@@ -128,9 +128,9 @@
   remote_t *remote;
   uint64_t handle;
 
-  if (fb_equal_str (fh_get_path (request), FB_LITERAL (FN_NEWS_PATH)))
+  if (fb_equal_str (fh_get_path (request), FB_LITERAL (FN_FEED_PATH)))
     {
-      fn_receive_ask (calls->kernel, request);
+      fn_handle_feed_request (calls->kernel, request);
       return;
     }
   if (fb_equal_str (fh_get_path (request), FB_LITERAL (ALIVE_PATH)))
@@ -183,7 +183,7 @@
       fn_end_attempt (entry, &answer);
     }
   else
-    fn_fail_lost (entry, id, response->error ? response->error : "no call message");
+    fn_fail_unanswered (entry, id, response->error ? response->error : "no call message");
 }
 
 static char *
@@ -242,8 +242,8 @@
     {
       uint64_t id = g_array_index (ids, uint64_t, i);
 
-      fn_cancel_sent (calls, id);
-      fn_fail_lost (entry, id, "the node is silent");
+      fn_cancel_sent_call (calls, id);
+      fn_fail_unanswered (entry, id, "the node is silent");
     }
 
 done:
@@ -353,7 +353,7 @@
 }
 
 void
-fn_cancel_sent (fn_calls_t *calls, uint64_t id)
+fn_cancel_sent_call (fn_calls_t *calls, uint64_t id)
 {
   sent_t *sent = g_hash_table_lookup (calls->sent, &id);
 
--- a/packages/node/source/node-dialect.c
+++ b/packages/node/source/node-dialect.c
@@ -1,7 +1,7 @@
 /* The headers of the product's own interface. */
 #include "node-services.h"
 
-const fn_dialect_t fn_own_dialect = {
+const fn_dialect_t fn_default_dialect = {
   .request_id = { "foxtailrun-request-id", 21 },
   .timeout_ms = { "foxtailrun-timeout-ms", 21 },
   .outcome = { "foxtailrun-outcome", 18 },
--- a/packages/node/source/node-directory.c
+++ b/packages/node/source/node-directory.c
@@ -33,7 +33,7 @@
 static void
 take_member (const fw_member_t *member, void *user)
 {
-  fn_put_endpoint (user, member);
+  fn_update_endpoint (user, member);
 }
 
 void
@@ -46,12 +46,12 @@
   directory->endpoints
       = g_hash_table_new_full (fb_hash_name_key, fb_equal_name_keys, NULL, g_free);
   fk_register_service (kernel, FN_DIRECTORY, &vtable, directory);
-  if (!fn_get_adapter (kernel)->listed)
+  if (!fn_get_adapter (kernel)->source_lists_endpoints)
     fn_watch_members (fk_find_service (kernel, FN_MEMBERSHIP), take_member, kernel);
 }
 
 void
-fn_put_endpoint (fk_kernel_t *kernel, const fw_member_t *endpoint)
+fn_update_endpoint (fk_kernel_t *kernel, const fw_member_t *endpoint)
 {
   fn_directory_t *directory = fk_find_service (kernel, FN_DIRECTORY);
   fw_member_t *known = g_hash_table_lookup (directory->endpoints, &endpoint->id);
--- a/packages/node/source/node-distribution.c
+++ b/packages/node/source/node-distribution.c
@@ -115,7 +115,7 @@
   fn_distribution_t *distribution = data;
   const fc_settings_t *settings = fn_get_settings (kernel);
 
-  if (fn_get_adapter (kernel)->listed)
+  if (fn_get_adapter (kernel)->source_lists_endpoints)
     fd_set_standalone (distribution->node);
   else
     {
@@ -178,7 +178,7 @@
 }
 
 bool
-fn_check_ready (fn_distribution_t *distribution)
+fn_is_ready (fn_distribution_t *distribution)
 {
   fb_time_t now = fb_read_clock (fk_get_clock (distribution->kernel));
 
@@ -188,7 +188,7 @@
 }
 
 bool
-fn_check_reader (fn_distribution_t *distribution)
+fn_is_reader (fn_distribution_t *distribution)
 {
   return fd_is_reader (distribution->node);
 }
@@ -209,8 +209,8 @@
 }
 
 void
-fn_hear_version (fn_distribution_t *distribution, const fw_member_t *sender,
-                 const fb_version_t *version)
+fn_handle_summary (fn_distribution_t *distribution, const fw_member_t *sender,
+                   const fb_version_t *version)
 {
   fd_handle_summary (distribution->node, sender, version);
 }
--- a/packages/node/source/node-drain.c
+++ b/packages/node/source/node-drain.c
@@ -87,7 +87,7 @@
   fn_disable_keep_alive (fk_find_service (kernel, FN_ENTRY));
   /* Without a membership protocol the other nodes learn of it by the first refused call. Until
    * the entry closes, the backend server beside this node goes on taking calls. */
-  if (!fn_get_adapter (kernel)->listed)
+  if (!fn_get_adapter (kernel)->source_lists_endpoints)
     {
       fm_announce_leaving (fn_get_members (fk_find_service (kernel, FN_MEMBERSHIP)));
       fn_drain_backend (fk_find_service (kernel, FN_BACKEND), false);
--- a/packages/node/source/node-entry-attempt.c
+++ b/packages/node/source/node-entry-attempt.c
@@ -82,15 +82,17 @@
   if (!fr_is_retry_safe (outcome, route->repeatable, call->ticket.len > 0))
     return false;
   if (elsewhere)
-    return call->elsewhere_count++ < FN_ELSEWHERE_RETRIES;
+    return call->retry_elsewhere_count++ < FN_RETRY_ELSEWHERE_MAX;
   /* A full queue costs the other node little, and another instance may have room. */
-  if (outcome == FW_NOT_RUN && answer->status == 429 && call->full_count < FN_FULL_RETRIES)
+  if (outcome == FW_NOT_RUN && answer->status == 429
+      && call->queue_full_count < FN_QUEUE_FULL_RETRIES_MAX)
     {
-      call->full_count++;
+      call->queue_full_count++;
       return true;
     }
-  return call->attempt_count - call->elsewhere_count - call->full_count <= route->retries
-         && (!call->arrived
+  return call->attempt_count - call->retry_elsewhere_count - call->queue_full_count
+             <= route->retries
+         && (!call->reached_backend
              || fr_withdraw_retry (call->entry->budget, get_service_name (call), route->rank));
 }
 
@@ -109,7 +111,7 @@
   fr_report_customer (entry->throttle, get_service_name (call), call->route->rank,
                       call->customer, accepted);
   call->may_have_run |= answer->outcome != FW_NOT_RUN;
-  call->arrived |= answer->reached_backend;
+  call->reached_backend |= answer->reached_backend;
   if (may_try_again (call, answer))
     {
       fb_add_counter (entry->retries, 1);
@@ -189,15 +191,16 @@
     .host = fh_get_host (call->request),
     .path = fh_get_path (call->request),
     .at_most_once = !route->repeatable,
-    .target_left_us = (uint64_t)(MAX (call->aim - call->attempt_start, 0) / FB_MICROSECOND),
-    .is_caller_retry = call->again,
-    .earlier_attempt_arrived = call->arrived || call->below_repeat,
+    .target_left_us
+    = (uint64_t)(MAX (call->target_time - call->attempt_start, 0) / FB_MICROSECOND),
+    .is_caller_retry = call->is_caller_retry,
+    .earlier_attempt_arrived = call->reached_backend || call->parent_is_repeat,
     .ticket = call->ticket,
     .request_id = fb_wrap_text (call->request_id),
     .body = fh_get_body (call->request),
   };
   if (message->ticket.len == 0 && !route->repeatable && route->ticket)
-    message->ticket = FN_TICKET_WANTED;
+    message->ticket = FN_TICKET_REQUEST;
   copy_headers (call, message);
 }
 
@@ -235,13 +238,13 @@
 
   if (fr_parse_ticket (call->ticket, &ticket) != FB_OK)
     {
-      fn_finish_with (call, FW_NOT_RUN, 422, "malformed ticket");
+      fn_finish_with_outcome (call, FW_NOT_RUN, 422, "malformed ticket");
       return;
     }
   node = find_node (entry, &ticket.node);
   if (!node || node->state == FW_DEAD)
     {
-      fn_finish_with (call, FW_UNKNOWN, 504, "the node that issued the ticket is gone");
+      fn_finish_with_outcome (call, FW_UNKNOWN, 504, "the node that issued the ticket is gone");
       return;
     }
   call->tried[call->attempt_count++] = ticket.node;
@@ -262,12 +265,13 @@
       start_ticket_attempt (call);
       return;
     }
-  if (!fr_pick_target (entry->picker, service, call->route->rank, call->target, call->tried,
-                       call->attempt_count, &picked))
+  if (!fr_pick_target (entry->picker, service, call->route->rank, call->latency_target,
+                       call->tried, call->attempt_count, &picked))
     {
-      fn_finish_with (call, FW_NOT_RUN, 503,
-                      call->attempt_count > 0 ? "no other instance would answer in time"
-                                              : "no instance of the service is available");
+      fn_finish_with_outcome (call, FW_NOT_RUN, 503,
+                              call->attempt_count > 0
+                                  ? "no other instance would answer in time"
+                                  : "no instance of the service is available");
       return;
     }
   call->tried[call->attempt_count++] = picked;
@@ -275,7 +279,7 @@
   if (!node)
     {
       fr_report_ranked (entry->picker, &picked, call->route->rank, FR_RESULT_CANCELLED, 0, 0);
-      fn_finish_with (call, FW_NOT_RUN, 503, "the chosen instance has left");
+      fn_finish_with_outcome (call, FW_NOT_RUN, 503, "the chosen instance has left");
       return;
     }
   send_attempt (call, node);
@@ -298,7 +302,7 @@
       fn_cancel_call (find_backend (entry), handle);
       return;
     }
-  fn_cancel_sent (fk_find_service (entry->kernel, FN_CALLS), attempt);
+  fn_cancel_sent_call (fk_find_service (entry->kernel, FN_CALLS), attempt);
 }
 
 void
@@ -324,7 +328,7 @@
 }
 
 void
-fn_fail_lost (fn_entry_t *entry, uint64_t id, const char *reason)
+fn_fail_unanswered (fn_entry_t *entry, uint64_t id, const char *reason)
 {
   fn_entry_call_t *call = g_hash_table_lookup (entry->attempts, &id);
 
--- a/packages/node/source/node-entry.c
+++ b/packages/node/source/node-entry.c
@@ -94,7 +94,7 @@
 is_logged (const fn_entry_call_t *call, const fw_call_t *answer)
 {
   return answer->outcome != FW_ANSWERED || answer->status >= 500
-         || fb_read_clock (fk_get_clock (call->entry->kernel)) > call->aim
+         || fb_read_clock (fk_get_clock (call->entry->kernel)) > call->target_time
          || fb_hash_str (fb_wrap_text (call->request_id), 0) % SAMPLE_RATE == 0;
 }
 
@@ -110,15 +110,15 @@
     return;
   FB_LOG (fk_get_log (entry->kernel), FB_LOG_INFO, FN_REQUEST,
           answer->outcome != FW_ANSWERED ? fw_describe_outcome (answer->outcome)
-          : now > call->aim              ? "answered late"
+          : now > call->target_time      ? "answered late"
                                          : "answered",
           FB_TEXT ("id", call->request_id), FB_NUMBER ("status", answer->status),
           FB_STR ("reason", answer->reason), FB_TEXT ("route", call->route->name.data),
           FB_NUMBER ("version", fc_get_version_number (call->snapshot)),
           FB_TEXT ("instance", instance), FB_NUMBER ("attempts", call->attempt_count),
-          FB_NUMBER ("again", call->again),
+          FB_NUMBER ("again", call->is_caller_retry),
           FB_NUMBER ("total_ms", (now - call->start) / FB_MILLISECOND),
-          FB_NUMBER ("target_ms", (call->aim - call->start) / FB_MILLISECOND),
+          FB_NUMBER ("target_ms", (call->target_time - call->start) / FB_MILLISECOND),
           FB_NUMBER ("limit_ms", (call->deadline - call->start) / FB_MILLISECOND),
           FB_NUMBER ("attempt_ms", (now - call->attempt_start) / FB_MILLISECOND),
           FB_NUMBER ("service_ms", answer->service_us / 1000),
@@ -150,8 +150,8 @@
 }
 
 void
-fn_finish_with (fn_entry_call_t *call, fw_outcome_t outcome, uint32_t status,
-                const char *reason)
+fn_finish_with_outcome (fn_entry_call_t *call, fw_outcome_t outcome, uint32_t status,
+                        const char *reason)
 {
   fw_call_t answer = { .outcome = outcome, .status = status, .reason = fb_wrap_text (reason) };
 
@@ -166,7 +166,8 @@
   bool open = call->attempt != 0;
 
   fn_abandon_attempt (call);
-  fn_finish_with (call, open ? FW_UNKNOWN : FW_NOT_RUN, open ? 504 : 503, "deadline passed");
+  fn_finish_with_outcome (call, open ? FW_UNKNOWN : FW_NOT_RUN, open ? 504 : 503,
+                          "deadline passed");
 }
 
 static void
@@ -175,7 +176,7 @@
   fn_entry_call_t *call = user;
 
   fn_abandon_attempt (call);
-  fn_finish_with (call, FW_UNKNOWN, 499, "caller went away");
+  fn_finish_with_outcome (call, FW_UNKNOWN, 499, "caller went away");
 }
 
 /* Writes the caller's request id, or a new one, into TEXT. */
@@ -223,23 +224,24 @@
 static fb_time_t
 guess_spent (fn_entry_t *entry, const fc_route_t *route, fb_time_t asked)
 {
-  fn_wait_t *wait = g_hash_table_lookup (entry->waits, route->name.data);
+  fn_route_timeout_t *wait = g_hash_table_lookup (entry->waits, route->name.data);
   fb_time_t now = fb_read_clock (fk_get_clock (entry->kernel));
   fb_time_t least; /* that a caller has at its first try */
 
   if (!wait)
     {
-      wait = g_new0 (fn_wait_t, 1);
+      wait = g_new0 (fn_route_timeout_t, 1);
       g_hash_table_insert (entry->waits, g_strdup (route->name.data), wait);
     }
-  if (now >= wait->until)
+  if (now >= wait->period_end)
     {
-      wait->before = now < wait->until + WAIT_PERIOD ? wait->longest : 0;
-      wait->longest = 0;
-      wait->until = now + WAIT_PERIOD;
+      wait->previous_max = now < wait->period_end + WAIT_PERIOD ? wait->current_max : 0;
+      wait->current_max = 0;
+      wait->period_end = now + WAIT_PERIOD;
     }
-  wait->longest = MAX (wait->longest, asked);
-  least = (fb_time_t)((double)MAX (wait->longest, wait->before) * (1 - PATIENCE_SPREAD));
+  wait->current_max = MAX (wait->current_max, asked);
+  least = (fb_time_t)((double)MAX (wait->current_max, wait->previous_max)
+                      * (1 - PATIENCE_SPREAD));
   return least - asked >= AGAIN_MIN ? least - asked : 0;
 }
 
@@ -252,9 +254,9 @@
 
   if (target == 0)
     target = fc_get_rank (call->snapshot, call->route->rank)->target_ms;
-  call->target = target * FB_MILLISECOND;
-  call->again = spent > 0;
-  call->aim = call->start + MAX (call->target - spent, 0);
+  call->latency_target = target * FB_MILLISECOND;
+  call->is_caller_retry = spent > 0;
+  call->target_time = call->start + MAX (call->latency_target - spent, 0);
 }
 
 /* Returns whether a path segment is read the same by everyone: not empty, no dot segment, no
@@ -364,7 +366,7 @@
   fn_distribution_t *distribution = fk_find_service (entry->kernel, FN_DISTRIBUTION);
   /* Noticing a pause may change the state of the distribution, so that it comes before the
    * snapshot. */
-  bool ready = fn_check_ready (distribution);
+  bool ready = fn_is_ready (distribution);
   const fn_dialect_t *dialect = fn_get_adapter (entry->kernel)->dialect;
   fc_snapshot_t *snapshot = fn_get_snapshot (distribution);
   const char *fault = find_fault (entry, request);
@@ -416,9 +418,9 @@
                        (fb_time_t)fc_get_idle_timeout_ms (snapshot) * FB_MILLISECOND);
   call = create_call (entry, request, snapshot, route, part, request_id);
   fh_set_cancelled_handler (request, cancel_call, call);
-  call->below_repeat = fn_is_below_repeat (fk_find_service (entry->kernel, FN_BACKEND),
-                                           fb_wrap_text (request_id));
-  if (call->below_repeat)
+  call->parent_is_repeat = fn_is_parent_repeat (fk_find_service (entry->kernel, FN_BACKEND),
+                                                fb_wrap_text (request_id));
+  if (call->parent_is_repeat)
     fr_charge_retry (entry->budget, service);
   else
     fr_deposit_retry (entry->budget, service);
@@ -451,13 +453,13 @@
 
   /* The picker learns the region from this node's own description, which is no endpoint itself
    * where the platform lists them. */
-  if (fn_get_adapter (kernel)->listed)
+  if (fn_get_adapter (kernel)->source_lists_endpoints)
     {
       self.service = (fb_name_t){ 0 };
       update_instance (&self, entry);
     }
   else
-    fn_put_endpoint (kernel, &self);
+    fn_update_endpoint (kernel, &self);
   entry->server = fh_create_server (kernel, &settings->address, settings->caller_port,
                                     FW_REQUEST_BODY_MAX, handle_request, entry);
   return entry->server ? FB_OK : FB_IO;
@@ -512,7 +514,7 @@
   fn_entry_t *entry = g_new0 (fn_entry_t, 1);
 
   entry->kernel = kernel;
-  fb_set_log_limit (fk_get_log (kernel), FN_REQUEST, FN_CALL_LINES);
+  fb_set_log_limit (fk_get_log (kernel), FN_REQUEST, FN_CALL_LOG_LINES_MAX);
   entry->picker = fr_create_picker (FR_PICK_LOCALITY, &settings->id, &settings->zone,
                                     randombytes_random (), fk_get_clock (kernel));
   entry->budget = fr_create_retry_budget (fk_get_clock (kernel));
--- a/packages/node/source/node-entry.h
+++ b/packages/node/source/node-entry.h
@@ -15,18 +15,18 @@
 
 /* Attempts beyond the route's retries that refusals by single nodes, such as a draining one,
  * may cause. */
-#define FN_ELSEWHERE_RETRIES 3
+#define FN_RETRY_ELSEWHERE_MAX 3
 
 /* Attempts beyond the route's retries that full queues may cause. */
-#define FN_FULL_RETRIES 1
+#define FN_QUEUE_FULL_RETRIES_MAX 1
 
 /* How long callers of a route are ready to wait. */
 typedef struct
 {
-  fb_time_t longest; /* in the present period */
-  fb_time_t before;  /* in the period before */
-  fb_time_t until;   /* end of the present period */
-} fn_wait_t;
+  fb_time_t current_max;  /* in the present period */
+  fb_time_t previous_max; /* in the period before */
+  fb_time_t period_end;   /* end of the present period */
+} fn_route_timeout_t;
 
 struct fn_entry
 {
@@ -36,7 +36,7 @@
   fr_retry_budget_t *budget;
   fr_throttle_t *throttle;
   fr_splitter_t *splitter;
-  GHashTable *waits;    /* fn_wait_t by name of the route */
+  GHashTable *waits;    /* fn_route_timeout_t by name of the route */
   GHashTable *attempts; /* fn_entry_call_t by id of the open attempt */
   size_t calls;
   bool closed;      /* takes no more calls */
@@ -60,17 +60,17 @@
   char request_id[64];
   fb_time_t start;
   fb_time_t deadline;
-  fb_time_t target; /* latency target of the route */
-  fb_time_t aim;    /* until which the answer is in time */
-  bool again;       /* the caller was refused before and has come back */
+  fb_time_t latency_target; /* latency target of the route */
+  fb_time_t target_time;    /* until which the answer is in time */
+  bool is_caller_retry;     /* the caller was refused before and has come back */
   fk_timer_t *timer;
   uint32_t service; /* index; the part of the route that was drawn */
   uint32_t attempt_count;
-  uint32_t full_count;      /* of those, ended by full queues */
-  uint32_t elsewhere_count; /* of those, ended by refusals of single nodes */
-  bool may_have_run;        /* an attempt reached a node and was not refused */
-  bool arrived;             /* an attempt reached a backend server, or may have */
-  bool below_repeat;        /* made by a run that is a repeat itself */
+  uint32_t queue_full_count;      /* of those, ended by full queues */
+  uint32_t retry_elsewhere_count; /* of those, ended by refusals of single nodes */
+  bool may_have_run;              /* an attempt reached a node and was not refused */
+  bool reached_backend;           /* an attempt reached a backend server, or may have */
+  bool parent_is_repeat;          /* made by a run that is a repeat itself */
   fb_name_t tried[FN_ATTEMPTS_MAX];
   uint64_t attempt; /* id of the open attempt, 0 when none */
   fb_time_t attempt_start;
@@ -88,7 +88,7 @@
 void fn_finish_entry_call (fn_entry_call_t *call, const fw_call_t *answer);
 
 /* Answers the caller with an outcome made here and frees CALL. */
-void fn_finish_with (fn_entry_call_t *call, fw_outcome_t outcome, uint32_t status,
-                     const char *reason);
+void fn_finish_with_outcome (fn_entry_call_t *call, fw_outcome_t outcome, uint32_t status,
+                             const char *reason);
 
 #endif
--- a/packages/node/source/node-explain.c
+++ b/packages/node/source/node-explain.c
@@ -109,7 +109,7 @@
   fn_distribution_t *distribution = fk_find_service (kernel, FN_DISTRIBUTION);
   const fc_settings_t *settings = fn_get_settings (kernel);
   const fc_snapshot_t *snapshot = fn_get_snapshot (distribution);
-  bool ready = fn_check_ready (distribution);
+  bool ready = fn_is_ready (distribution);
   char *method = read_parameter (query, "method");
   char *path = read_parameter (query, "path");
   char *host = read_parameter (query, "host");
--- a/packages/node/source/node-feed.c
+++ b/packages/node/source/node-feed.c
@@ -96,17 +96,17 @@
 {
   const fw_member_t *member = &endpoint->member;
   bool known = fb_equal_name (&member->id, &feed->local_id);
-  fn_local_t local = { 0 };
+  fn_local_backend_t local = { 0 };
 
   if (member->state == FW_DEAD && !known)
     return;
   if (!known && feed->local_id.len > 0 && member->incarnation < feed->local_start)
     return;
   if (member->state != FW_DEAD)
-    local = (fn_local_t){ member->id, endpoint->slots, member->state == FW_LEAVING };
+    local = (fn_local_backend_t){ member->id, endpoint->slots, member->state == FW_LEAVING };
   feed->local_id = local.instance;
   feed->local_start = member->incarnation;
-  fn_set_local (feed->kernel, &local);
+  fn_set_local_backend (feed->kernel, &local);
 }
 
 static void
@@ -123,7 +123,7 @@
           FB_NUMBER ("age_ms", fd_get_age (feed->feed) / FB_MILLISECOND));
   if (fb_equal_name (&member->address, &fn_get_settings (feed->kernel)->address))
     take_local (feed, endpoint);
-  fn_put_endpoint (feed->kernel, member);
+  fn_update_endpoint (feed->kernel, member);
 }
 
 static void
@@ -191,7 +191,7 @@
   size_t length;
   uint8_t *bytes = fw_encode_feed (ask, &length);
   fh_client_request_t outgoing = { .method = FB_LITERAL ("POST"),
-                                   .path = FB_LITERAL (FN_NEWS_PATH),
+                                   .path = FB_LITERAL (FN_FEED_PATH),
                                    .body = { bytes, length },
                                    .repeatable = true };
 
@@ -220,12 +220,13 @@
 }
 
 void
-fn_receive_ask (fk_kernel_t *kernel, fh_request_t *request)
+fn_handle_feed_request (fk_kernel_t *kernel, fh_request_t *request)
 {
   fn_feed_t *feed = fk_find_service (kernel, FN_SOURCE);
   fw_feed_message_t ask;
 
-  if (!fn_get_adapter (kernel)->listed || fw_decode_feed (fh_get_body (request), &ask) != FB_OK)
+  if (!fn_get_adapter (kernel)->source_lists_endpoints
+      || fw_decode_feed (fh_get_body (request), &ask) != FB_OK)
     {
       fh_respond (request, 400, NULL, 0, (fb_bytes_t){ NULL, 0 });
       return;
--- a/packages/node/source/node-membership.c
+++ b/packages/node/source/node-membership.c
@@ -59,7 +59,7 @@
 {
   fn_membership_t *membership = user;
 
-  fn_hear_version (fk_find_service (membership->kernel, FN_DISTRIBUTION), sender, version);
+  fn_handle_summary (fk_find_service (membership->kernel, FN_DISTRIBUTION), sender, version);
 }
 
 static void
@@ -126,7 +126,7 @@
   fn_membership_t *membership = data;
   const fc_settings_t *settings = fn_get_settings (kernel);
 
-  if (fn_get_adapter (kernel)->listed)
+  if (fn_get_adapter (kernel)->source_lists_endpoints)
     return FB_OK;
   membership->udp = ft_create_udp (kernel, &settings->address, settings->control_port,
                                    receive_datagram, membership);
--- a/packages/node/source/node-ready.c
+++ b/packages/node/source/node-ready.c
@@ -15,7 +15,7 @@
 handle_request (fh_request_t *request, void *user)
 {
   ready_t *ready = user;
-  bool serving = fn_check_ready (fk_find_service (ready->kernel, FN_DISTRIBUTION))
+  bool serving = fn_is_ready (fk_find_service (ready->kernel, FN_DISTRIBUTION))
                  && !fn_is_draining (ready->kernel);
 
   fh_respond (request, serving ? 200 : 503, NULL, 0, (fb_bytes_t){ NULL, 0 });
--- a/packages/node/source/node-services.h
+++ b/packages/node/source/node-services.h
@@ -24,7 +24,7 @@
 
 /* Log lines of each outcome in 10 s; a line costs about as much processor time as a call's
  * head. */
-#define FN_CALL_LINES 100
+#define FN_CALL_LOG_LINES_MAX 100
 #define FN_BURN "burn"
 #define FN_ADMIN "admin"
 #define FN_DRAIN "drain"
@@ -44,7 +44,7 @@
 const fn_adapter_t *fn_get_adapter (fk_kernel_t *kernel);
 
 /* The headers of the product's own interface. */
-extern const fn_dialect_t fn_own_dialect;
+extern const fn_dialect_t fn_default_dialect;
 
 void fn_register_settings (fk_kernel_t *kernel, const fc_settings_t *settings,
                            const fn_adapter_t *adapter);
@@ -87,17 +87,17 @@
 const fb_version_t *fn_get_version (fn_distribution_t *distribution);
 
 /* Returns whether calls may be taken; notices a pause of the process first. */
-bool fn_check_ready (fn_distribution_t *distribution);
+bool fn_is_ready (fn_distribution_t *distribution);
 
 /* Returns whether this node reads the source. */
-bool fn_check_reader (fn_distribution_t *distribution);
+bool fn_is_reader (fn_distribution_t *distribution);
 
 /* Returns the last refused version and its first problem as text, or NULL. */
 const char *fn_get_refusal (fn_distribution_t *distribution);
 
 /* A summary heard by the membership. */
-void fn_hear_version (fn_distribution_t *distribution, const fw_member_t *sender,
-                      const fb_version_t *version);
+void fn_handle_summary (fn_distribution_t *distribution, const fw_member_t *sender,
+                        const fb_version_t *version);
 
 /* The member lists of this node and PEER differ: asks PEER for its list. */
 void fn_handle_divergence (fn_distribution_t *distribution, const fw_member_t *peer);
@@ -107,10 +107,10 @@
 void fn_register_source (fk_kernel_t *kernel, void *user);
 
 /* Path on the port of calls at which other nodes ask for news of the store. */
-#define FN_NEWS_PATH "/news"
+#define FN_FEED_PATH "/news"
 
 /* Takes over REQUEST, another node's ask for news of the store. */
-void fn_receive_ask (fk_kernel_t *kernel, fh_request_t *request);
+void fn_handle_feed_request (fk_kernel_t *kernel, fh_request_t *request);
 
 /* backend: calls at the node beside the backend server. */
 typedef struct fn_backend fn_backend_t;
@@ -130,7 +130,7 @@
 
 /* Returns whether the backend server makes the call REQUEST_ID on behalf of a call that it runs
  * as a repeat; the id of such a call is that of its parent, a dot and a number. */
-bool fn_is_below_repeat (fn_backend_t *backend, fb_str_t request_id);
+bool fn_is_parent_repeat (fn_backend_t *backend, fb_str_t request_id);
 
 /* Returns calls not yet answered. */
 size_t fn_count_backend_calls (fn_backend_t *backend);
@@ -140,7 +140,7 @@
 
 /* Stands in place of the ticket in a call whose route needs one that the caller did not bring:
  * the node asked issues it. */
-#define FN_TICKET_WANTED FB_LITERAL ("new")
+#define FN_TICKET_REQUEST FB_LITERAL ("new")
 
 /* calls: between the entry nodes and the nodes beside backend servers. */
 typedef struct fn_calls fn_calls_t;
@@ -151,7 +151,7 @@
 void fn_send_call (fn_calls_t *calls, const fw_member_t *node, const fw_call_t *call);
 
 /* Gives up call ID: it does not come back, and the node that serves it is told. */
-void fn_cancel_sent (fn_calls_t *calls, uint64_t id);
+void fn_cancel_sent_call (fn_calls_t *calls, uint64_t id);
 
 /* entry: calls from callers, routed to a node beside a backend server. */
 typedef struct fn_entry fn_entry_t;
@@ -174,7 +174,7 @@
 void fn_fail_unsent (fn_entry_t *entry, uint64_t id);
 
 /* Attempt ID was sent and has no whole answer, for REASON: its outcome is unknown. */
-void fn_fail_lost (fn_entry_t *entry, uint64_t id, const char *reason);
+void fn_fail_unanswered (fn_entry_t *entry, uint64_t id, const char *reason);
 
 /* Keeps new attempts from INSTANCE until TIME while there are others. */
 void fn_avoid_instance (fn_entry_t *entry, const fb_name_t *instance, fb_time_t time);
--- a/packages/node/source/node-source.c
+++ b/packages/node/source/node-source.c
@@ -170,7 +170,7 @@
 {
   consul_t *source = user;
 
-  if (fn_check_reader (fk_find_service (source->kernel, FN_DISTRIBUTION)))
+  if (fn_is_reader (fk_find_service (source->kernel, FN_DISTRIBUTION)))
     read_hosts (source);
   else
     source->hosts_index = 0;
--- a/packages/node/source/node.c
+++ b/packages/node/source/node.c
@@ -46,7 +46,7 @@
                   const fn_adapter_t *adapter)
 {
   static const fn_adapter_t own
-      = { .dialect = &fn_own_dialect, .register_source = fn_register_source };
+      = { .dialect = &fn_default_dialect, .register_source = fn_register_source };
 
   if (!adapter)
     adapter = &own;
--- a/standins/fleet/fleet-host.c
+++ b/standins/fleet/fleet-host.c
@@ -130,9 +130,9 @@
   if (!ready)
     return;
   FB_INVARIANT (fd_get_snapshot (host->node) != NULL);
-  FB_INVARIANT (host->answers + host->source_values > 0);
+  FB_INVARIANT (host->summaries_received + host->source_values > 0);
   if (waited < 3 * FB_SECOND)
-    FB_INVARIANT (host->answers > 0 && host->source_values > 0);
+    FB_INVARIANT (host->summaries_received > 0 && host->source_values > 0);
 }
 
 static void
@@ -170,8 +170,8 @@
   memset (&host->watch, 0, sizeof host->watch);
   host->started_at = now;
   host->joining_at = now;
-  host->hosts_at = now;
-  host->answers = host->source_values = host->source_calls = 0;
+  host->next_host_list_read_at = now;
+  host->summaries_received = host->source_values = host->source_calls = 0;
   host->ready = host->paused = false;
 }
 
@@ -214,7 +214,7 @@
   if (fd_is_ready (host->node) != host->ready)
     {
       host->joining_at = fb_read_clock (fleet->clock);
-      host->answers = host->source_values = 0;
+      host->summaries_received = host->source_values = 0;
     }
   while ((event = g_queue_pop_head (&host->inbox)) != NULL)
     {
@@ -240,7 +240,8 @@
       if (i != host->index && (known == NULL || known->state == FW_DEAD))
         fm_probe_address (host->table, &other->address, other->control_port);
     }
-  host->hosts_at = fb_read_clock (fleet->clock) + (alone ? FB_SECOND : HOSTS_PERIOD);
+  host->next_host_list_read_at
+      = fb_read_clock (fleet->clock) + (alone ? FB_SECOND : HOSTS_PERIOD);
 }
 
 static void
@@ -273,7 +274,7 @@
     {
       fm_tick (host->table);
       fd_tick (host->node);
-      if (now >= host->hosts_at)
+      if (now >= host->next_host_list_read_at)
         probe_hosts (host);
     }
   check_host (host);
--- a/standins/fleet/fleet-network.c
+++ b/standins/fleet/fleet-network.c
@@ -53,7 +53,7 @@
   size_t index = (size_t)port - SF_BASE_PORT;
 
   host->sent_bytes += bytes.len;
-  if (index >= fleet->count || fleet->hosts[index].side != host->side
+  if (index >= fleet->count || fleet->hosts[index].partition != host->partition
       || g_rand_double (fleet->random) < fleet->link.loss)
     return;
   sf_schedule_event (&fleet->hosts[index], kind, bytes);
@@ -77,7 +77,7 @@
     case SF_CONTROL:
       if (fw_decode_control (bytes, &message) != FB_OK)
         break;
-      host->answers += message.kind == FW_SUMMARY;
+      host->summaries_received += message.kind == FW_SUMMARY;
       fd_handle_message (host->node, &message);
       fw_clear_control (&message);
       break;
--- a/standins/fleet/fleet-source.c
+++ b/standins/fleet/fleet-source.c
@@ -6,14 +6,14 @@
 {
   sf_source_t *source = &host->fleet->source;
   fb_bytes_t bytes = { NULL, 0 };
-  uint64_t index = source->seen_index;
+  uint64_t index = source->visible_index;
   sf_event_t *event;
 
-  if (status == FB_OK && source->seen == NULL)
+  if (status == FB_OK && source->visible_document == NULL)
     status = FB_NOT_FOUND;
   if (status == FB_OK)
     {
-      bytes.data = g_bytes_get_data (source->seen, &bytes.len);
+      bytes.data = g_bytes_get_data (source->visible_document, &bytes.len);
       if (host->watch.index == 0 && g_rand_double (host->fleet->random) < source->stale)
         {
           guint older
@@ -38,7 +38,7 @@
   host->watch.index = index;
   if (source->down)
     sf_answer_call (host, FB_UNAVAILABLE);
-  else if (index == 0 || source->seen_index > index)
+  else if (index == 0 || source->visible_index > index)
     sf_answer_call (host, FB_OK);
   else
     {
@@ -55,7 +55,7 @@
       sf_host_t *host = &fleet->hosts[i];
 
       if (host->table != NULL && host->watch.waiting
-          && (all || fleet->source.seen_index > host->watch.index))
+          && (all || fleet->source.visible_index > host->watch.index))
         sf_answer_call (host, fleet->source.down ? FB_UNAVAILABLE : FB_OK);
     }
 }
@@ -97,8 +97,8 @@
   source->valid = valid;
   if (source->frozen)
     return;
-  source->seen_index = source->index;
-  source->seen = source->document;
+  source->visible_index = source->index;
+  source->visible_document = source->document;
   wake_watches (fleet, false);
 }
 
@@ -109,13 +109,13 @@
 }
 
 void
-sf_heal_source (sf_fleet_t *fleet)
+sf_restore_source (sf_fleet_t *fleet)
 {
   fleet->source.down = false;
   fleet->source.frozen = false;
   fleet->source.stale = 0;
-  fleet->source.seen_index = fleet->source.index;
-  fleet->source.seen = fleet->source.document;
+  fleet->source.visible_index = fleet->source.index;
+  fleet->source.visible_document = fleet->source.document;
   wake_watches (fleet, false);
 }
 
@@ -132,7 +132,7 @@
       g_array_append_val (source->indexes, source->index);
     }
   source->frozen = false;
-  source->seen = source->document;
-  source->seen_index = source->index;
+  source->visible_document = source->document;
+  source->visible_index = source->index;
   wake_watches (fleet, true);
 }
--- a/standins/fleet/fleet.c
+++ b/standins/fleet/fleet.c
@@ -78,7 +78,7 @@
   fb_format_version (&highest, wanted, sizeof wanted);
   fprintf (stderr, "at %d ms: highest %s, source index %d, seen %d, down %d\n",
            (int)(fb_read_clock (fleet->clock) / FB_MILLISECOND), wanted,
-           (int)fleet->source.index, (int)fleet->source.seen_index, fleet->source.down);
+           (int)fleet->source.index, (int)fleet->source.visible_index, fleet->source.down);
   for (size_t i = 0; i < fleet->count; i++)
     {
       const sf_host_t *host = &fleet->hosts[i];
@@ -90,11 +90,11 @@
           continue;
         }
       fb_format_version (fd_get_version (host->node), text, sizeof text);
-      fprintf (stderr,
-               "%s %s: %s ready %d reader %d alive %zu side %u calls %d, waits %d for %d\n",
-               host->self.id.data, host->self.zone.data, text, host->ready,
-               fd_is_reader (host->node), fm_count_members (host->table, FW_ALIVE), host->side,
-               (int)host->source_calls, host->watch.waiting, (int)host->watch.index);
+      fprintf (
+          stderr, "%s %s: %s ready %d reader %d alive %zu side %u calls %d, waits %d for %d\n",
+          host->self.id.data, host->self.zone.data, text, host->ready,
+          fd_is_reader (host->node), fm_count_members (host->table, FW_ALIVE), host->partition,
+          (int)host->source_calls, host->watch.waiting, (int)host->watch.index);
     }
 }
 
--- a/standins/fleet/fleet.h
+++ b/standins/fleet/fleet.h
@@ -32,16 +32,16 @@
   uint64_t starts; /* processes started on this host */
   bool paused;
   GQueue inbox;         /* events that arrived during a pause */
-  uint32_t side;        /* of the partition */
+  uint32_t partition;   /* of the partition */
   fb_version_t highest; /* applied by this process */
   fb_time_t reached_at;
   bool ready;
   fb_time_t started_at;
-  fb_time_t joining_at;   /* start of the process or end of its last pause */
-  uint64_t answers;       /* SUMMARY received since then */
-  uint64_t source_values; /* answers to source reads started since then */
-  uint64_t source_calls;  /* of this process */
-  fb_time_t hosts_at;     /* next look at the host list */
+  fb_time_t joining_at;             /* start of the process or end of its last pause */
+  uint64_t summaries_received;      /* SUMMARY received since then */
+  uint64_t source_values;           /* answers to source reads started since then */
+  uint64_t source_calls;            /* of this process */
+  fb_time_t next_host_list_read_at; /* next look at the host list */
   uint64_t sent_bytes;
   struct
   {
@@ -59,10 +59,10 @@
   bool frozen;  /* serves the value it had when it froze */
   double stale; /* probability that a read without a wait returns an older value */
   uint64_t index;
-  GBytes *document;    /* borrowed from VALUES, as is SEEN */
-  bool valid;          /* of the document */
-  uint64_t seen_index; /* what readers see */
-  GBytes *seen;
+  GBytes *document;       /* borrowed from VALUES, as is SEEN */
+  bool valid;             /* of the document */
+  uint64_t visible_index; /* what readers see */
+  GBytes *visible_document;
   GPtrArray *values; /* every value since the last reset of the index */
   GArray *indexes;   /* of the values */
   uint64_t calls;
@@ -107,7 +107,7 @@
 
 /* Freezes what readers see, ends an outage or a freeze, and lowers the index. */
 void sf_freeze_source (sf_fleet_t *fleet);
-void sf_heal_source (sf_fleet_t *fleet);
+void sf_restore_source (sf_fleet_t *fleet);
 void sf_reset_index (sf_fleet_t *fleet);
 
 /* Returns the highest version that a running node or the source holds. */
