--- a/packages/member/source/member-datagram.c
+++ b/packages/member/source/member-datagram.c
@@ -6,8 +6,8 @@
 
 /* Least time between two such fetches, and the longest time without one while no peer agrees.
  */
-#define DIVERGENCE_PERIOD (10 * FB_SECOND)
-#define DIVERGENCE_MAX (60 * FB_SECOND)
+#define DIVERGENCE_FETCH_INTERVAL (10 * FB_SECOND)
+#define DIVERGENCE_DELAY_MAX (60 * FB_SECOND)
 
 /* Returns whether the member list differs from its peers' for too long, given a datagram with
  * another DIGEST. Only a difference that stands while the own list stands still counts: an
@@ -15,38 +15,38 @@
 static bool
 is_diverged (fm_table_t *table, uint64_t digest, fb_time_t now)
 {
-  fb_time_t unmatched = now - table->matched_at;
+  fb_time_t since_match = now - table->digest_matched_at;
 
-  if (table->foreign_since == 0 || now - table->foreign_since > DIVERGENCE_MAX)
+  if (table->peer_digest_since == 0 || now - table->peer_digest_since > DIVERGENCE_DELAY_MAX)
     {
-      table->foreign_digest = digest;
-      table->foreign_since = now;
+      table->peer_digest = digest;
+      table->peer_digest_since = now;
     }
-  if (now < table->next_diverged)
+  if (now < table->next_divergence_at)
     return false;
-  if (unmatched >= DIVERGENCE_MAX)
+  if (since_match >= DIVERGENCE_DELAY_MAX)
     return true;
-  return now - table->digest_changed >= DIVERGENCE_DELAY
-         && (unmatched >= DIVERGENCE_DELAY
-             || (digest == table->foreign_digest
-                 && now - table->foreign_since >= DIVERGENCE_DELAY));
+  return now - table->digest_changed_at >= DIVERGENCE_DELAY
+         && (since_match >= DIVERGENCE_DELAY
+             || (digest == table->peer_digest
+                 && now - table->peer_digest_since >= DIVERGENCE_DELAY));
 }
 
 /* Compares digests; returns whether they differ. */
 static bool
-compare_lists (fm_table_t *table, const fw_datagram_t *datagram)
+compare_digests (fm_table_t *table, const fw_datagram_t *datagram)
 {
   fb_time_t now = fb_read_clock (table->clock);
 
   if (datagram->members_digest == table->digest)
     {
-      table->matched_at = now;
+      table->digest_matched_at = now;
       return false;
     }
   if (is_diverged (table, datagram->members_digest, now))
     {
-      table->next_diverged = now + DIVERGENCE_PERIOD;
-      table->foreign_since = 0;
+      table->next_divergence_at = now + DIVERGENCE_FETCH_INTERVAL;
+      table->peer_digest_since = 0;
       fb_add_counter (table->counters.divergences, 1);
       if (table->hooks.diverged)
         table->hooks.diverged (&datagram->sender, table->hooks.user);
@@ -57,52 +57,54 @@
 /* Sends corrections to the sender of a datagram that has no reply of its own; one in each
  * gossip period, so that a sender with much to correct costs no more than that. */
 static void
-send_correction (fm_table_t *table, const fw_datagram_t *datagram, const fm_told_t *told)
+send_correction (fm_table_t *table, const fw_datagram_t *datagram,
+                 const fm_priority_updates_t *priority)
 {
   fb_time_t now = fb_read_clock (table->clock);
 
-  if (now < table->next_correction)
+  if (now < table->next_correction_at)
     return;
-  table->next_correction = now + table->options.gossip_period;
+  table->next_correction_at = now + table->options.gossip_period;
   fm_send_datagram (table, FW_GOSSIP, 0, &datagram->sender.address,
-                    datagram->sender.control_port, NULL, told);
+                    datagram->sender.control_port, NULL, priority);
 }
 
 static void
-reply_to_datagram (fm_table_t *table, const fw_datagram_t *datagram, const fm_told_t *told)
+reply_to_datagram (fm_table_t *table, const fw_datagram_t *datagram,
+                   const fm_priority_updates_t *priority)
 {
   switch (datagram->kind)
     {
     case FW_PING:
       fm_send_datagram (table, FW_ACK, datagram->sequence, &datagram->sender.address,
-                        datagram->sender.control_port, NULL, told);
+                        datagram->sender.control_port, NULL, priority);
       break;
     case FW_ACK:
       fm_handle_ack (table, datagram);
-      if (told->count > 0 || told->repair)
-        send_correction (table, datagram, told);
+      if (priority->count > 0 || priority->include_recent)
+        send_correction (table, datagram, priority);
       break;
     case FW_PING_REQ:
       fm_handle_ping_req (table, datagram);
       break;
     case FW_GOSSIP:
-      if (told->count > 0)
-        send_correction (table, datagram, told);
+      if (priority->count > 0)
+        send_correction (table, datagram, priority);
       break;
     }
 }
 
 static void
-take_sender (fm_table_t *table, const fw_member_t *sender, fm_told_t *told)
+apply_sender (fm_table_t *table, const fw_member_t *sender, fm_priority_updates_t *priority)
 {
   fm_entry_t *entry;
 
-  fm_apply_update (table, sender, FM_FROM_SUBJECT, NULL);
+  fm_apply_update (table, sender, FM_SOURCE_SUBJECT, NULL);
   entry = fm_find_entry (table, &sender->id);
   if (!entry)
     return;
   if (fw_overrides (&entry->member, sender))
-    fm_add_told (told, entry);
+    fm_add_priority_update (priority, entry);
   else if (entry->member.state == FW_LEAVING)
     fm_set_deadline (table, entry, 0);
 }
@@ -111,7 +113,7 @@
 fm_handle_datagram (fm_table_t *table, fb_bytes_t bytes)
 {
   fw_datagram_t datagram;
-  fm_told_t told = { 0 };
+  fm_priority_updates_t priority = { 0 };
 
   fb_add_counter (table->counters.received, 1);
   fb_add_counter (table->counters.received_bytes, bytes.len);
@@ -125,14 +127,14 @@
     }
   if (fb_equal_name (&datagram.sender.id, &table->self->member.id))
     {
-      fm_apply_update (table, &datagram.sender, FM_FROM_GOSSIP, NULL);
+      fm_apply_update (table, &datagram.sender, FM_SOURCE_GOSSIP, NULL);
       return FB_OK;
     }
-  take_sender (table, &datagram.sender, &told);
+  apply_sender (table, &datagram.sender, &priority);
   for (size_t i = 0; i < datagram.update_count; i++)
-    fm_apply_update (table, &datagram.updates[i], FM_FROM_GOSSIP, &told);
-  told.repair = compare_lists (table, &datagram);
-  reply_to_datagram (table, &datagram, &told);
+    fm_apply_update (table, &datagram.updates[i], FM_SOURCE_GOSSIP, &priority);
+  priority.include_recent = compare_digests (table, &datagram);
+  reply_to_datagram (table, &datagram, &priority);
   if (table->hooks.summary_received)
     table->hooks.summary_received (&datagram.sender, &datagram.version, table->hooks.user);
   return FB_OK;
--- a/packages/member/source/member-index.c
+++ b/packages/member/source/member-index.c
@@ -42,49 +42,49 @@
 }
 
 static void
-place_in_order (fm_table_t *table, guint slot, fm_entry_t *entry)
+set_order_index (fm_table_t *table, guint index, fm_entry_t *entry)
 {
-  table->order->pdata[slot] = entry;
-  entry->set_slot = slot;
+  table->probe_order->pdata[index] = entry;
+  entry->list_index = index;
 }
 
 static void
 swap_in_order (fm_table_t *table, guint a, guint b)
 {
-  fm_entry_t *first = g_ptr_array_index (table->order, a);
-  fm_entry_t *second = g_ptr_array_index (table->order, b);
+  fm_entry_t *first = g_ptr_array_index (table->probe_order, a);
+  fm_entry_t *second = g_ptr_array_index (table->probe_order, b);
 
-  place_in_order (table, a, second);
-  place_in_order (table, b, first);
+  set_order_index (table, a, second);
+  set_order_index (table, b, first);
 }
 
 /* Adds ENTRY at a random place among the members not yet probed in this round. */
 static void
 add_to_order (fm_table_t *table, fm_entry_t *entry)
 {
-  guint last = table->order->len;
+  guint last = table->probe_order->len;
 
-  g_ptr_array_add (table->order, entry);
-  entry->set_slot = last;
+  g_ptr_array_add (table->probe_order, entry);
+  entry->list_index = last;
   swap_in_order (
       table, last,
-      (guint)g_rand_int_range (table->random, (gint32)table->cursor, (gint32)last + 1));
+      (guint)g_rand_int_range (table->random, (gint32)table->probe_cursor, (gint32)last + 1));
 }
 
 static void
 remove_from_order (fm_table_t *table, fm_entry_t *entry)
 {
-  if (entry->set_slot < table->cursor)
+  if (entry->list_index < table->probe_cursor)
     {
-      table->cursor--;
-      swap_in_order (table, entry->set_slot, table->cursor);
+      table->probe_cursor--;
+      swap_in_order (table, entry->list_index, table->probe_cursor);
     }
-  swap_in_order (table, entry->set_slot, table->order->len - 1);
-  g_ptr_array_set_size (table->order, (gint)table->order->len - 1);
+  swap_in_order (table, entry->list_index, table->probe_order->len - 1);
+  g_ptr_array_set_size (table->probe_order, (gint)table->probe_order->len - 1);
 }
 
 static void
-add_to_set (fm_table_t *table, fm_entry_t *entry)
+add_to_state_list (fm_table_t *table, fm_entry_t *entry)
 {
   if (entry == table->self)
     return;
@@ -93,12 +93,12 @@
       add_to_order (table, entry);
       return;
     }
-  entry->set_slot = table->dead->len;
+  entry->list_index = table->dead->len;
   g_ptr_array_add (table->dead, entry);
 }
 
 static void
-remove_from_set (fm_table_t *table, fm_entry_t *entry)
+remove_from_state_list (fm_table_t *table, fm_entry_t *entry)
 {
   if (entry == table->self)
     return;
@@ -107,11 +107,11 @@
       remove_from_order (table, entry);
       return;
     }
-  FB_INVARIANT (g_ptr_array_index (table->dead, entry->set_slot) == entry);
-  g_ptr_array_remove_index_fast (table->dead, entry->set_slot);
-  if (entry->set_slot < table->dead->len)
-    ((fm_entry_t *)g_ptr_array_index (table->dead, entry->set_slot))->set_slot
-        = entry->set_slot;
+  FB_INVARIANT (g_ptr_array_index (table->dead, entry->list_index) == entry);
+  g_ptr_array_remove_index_fast (table->dead, entry->list_index);
+  if (entry->list_index < table->dead->len)
+    ((fm_entry_t *)g_ptr_array_index (table->dead, entry->list_index))->list_index
+        = entry->list_index;
 }
 
 static void
@@ -121,11 +121,11 @@
 
   if (!service)
     return;
-  FB_INVARIANT (g_ptr_array_index (service->entries, entry->service_slot) == entry);
-  g_ptr_array_remove_index_fast (service->entries, entry->service_slot);
-  if (entry->service_slot < service->entries->len)
-    ((fm_entry_t *)g_ptr_array_index (service->entries, entry->service_slot))->service_slot
-        = entry->service_slot;
+  FB_INVARIANT (g_ptr_array_index (service->entries, entry->service_index) == entry);
+  g_ptr_array_remove_index_fast (service->entries, entry->service_index);
+  if (entry->service_index < service->entries->len)
+    ((fm_entry_t *)g_ptr_array_index (service->entries, entry->service_index))->service_index
+        = entry->service_index;
   entry->service = NULL;
   if (service->entries->len == 0)
     g_hash_table_remove (table->services, &service->name);
@@ -147,7 +147,7 @@
       g_hash_table_insert (table->services, &service->name, service);
     }
   entry->service = service;
-  entry->service_slot = service->entries->len;
+  entry->service_index = service->entries->len;
   g_ptr_array_add (service->entries, entry);
 }
 
@@ -158,15 +158,15 @@
     return;
   table->digest ^= entry->digest ^ digest;
   entry->digest = digest;
-  table->digest_changed = fb_read_clock (table->clock);
-  table->foreign_since = 0;
+  table->digest_changed_at = fb_read_clock (table->clock);
+  table->peer_digest_since = 0;
 }
 
 static void
-count_state (fm_table_t *table, fw_member_state_t state, int change)
+adjust_state_count (fm_table_t *table, fw_member_state_t state, int change)
 {
-  table->counts[state] += (size_t)change;
-  fb_set_counter (table->counters.states[state], table->counts[state]);
+  table->state_counts[state] += (size_t)change;
+  fb_set_counter (table->counters.states[state], table->state_counts[state]);
 }
 
 fm_entry_t *
@@ -188,10 +188,10 @@
   FB_INVARIANT (g_hash_table_insert (table->by_id, &entry->member.id, entry));
   g_ptr_array_insert (table->sorted, (gint)find_sorted_position (table, &member->id), entry);
   g_queue_push_tail_link (&table->recent, &entry->recent_link);
-  add_to_set (table, entry);
+  add_to_state_list (table, entry);
   add_to_service (table, entry);
   set_entry_digest (table, entry, compute_entry_digest (member));
-  count_state (table, member->state, 1);
+  adjust_state_count (table, member->state, 1);
   return entry;
 }
 
@@ -199,20 +199,20 @@
 fm_replace_entry (fm_table_t *table, fm_entry_t *entry, const fw_member_t *member)
 {
   fw_member_t previous = entry->member;
-  bool moves = (previous.state == FW_DEAD) != (member->state == FW_DEAD);
+  bool changes_list = (previous.state == FW_DEAD) != (member->state == FW_DEAD);
 
   FB_INVARIANT (fb_equal_name (&previous.id, &member->id));
   FB_INVARIANT (member->incarnation >= previous.incarnation);
   remove_from_service (table, entry);
-  if (moves)
-    remove_from_set (table, entry);
+  if (changes_list)
+    remove_from_state_list (table, entry);
   entry->member = *member;
-  if (moves)
-    add_to_set (table, entry);
+  if (changes_list)
+    add_to_state_list (table, entry);
   add_to_service (table, entry);
   set_entry_digest (table, entry, compute_entry_digest (member));
-  count_state (table, previous.state, -1);
-  count_state (table, member->state, 1);
+  adjust_state_count (table, previous.state, -1);
+  adjust_state_count (table, member->state, 1);
 }
 
 void
@@ -223,11 +223,11 @@
   FB_INVARIANT (entry != table->self);
   FB_INVARIANT (g_ptr_array_index (table->sorted, position) == entry);
   fm_set_deadline (table, entry, 0);
-  fm_unqueue_entry (table, entry);
+  fm_dequeue_entry (table, entry);
   remove_from_service (table, entry);
-  remove_from_set (table, entry);
+  remove_from_state_list (table, entry);
   set_entry_digest (table, entry, 0);
-  count_state (table, entry->member.state, -1);
+  adjust_state_count (table, entry->member.state, -1);
   g_queue_unlink (&table->recent, &entry->recent_link);
   g_ptr_array_remove_index (table->sorted, position);
   g_hash_table_remove (table->by_id, &entry->member.id);
@@ -238,47 +238,47 @@
 {
   if (deadline != 0 && entry->deadline == 0)
     {
-      entry->timed_slot = table->timed->len;
+      entry->timed_index = table->timed->len;
       g_ptr_array_add (table->timed, entry);
     }
   else if (deadline == 0 && entry->deadline != 0)
     {
-      FB_INVARIANT (g_ptr_array_index (table->timed, entry->timed_slot) == entry);
-      g_ptr_array_remove_index_fast (table->timed, entry->timed_slot);
-      if (entry->timed_slot < table->timed->len)
-        ((fm_entry_t *)g_ptr_array_index (table->timed, entry->timed_slot))->timed_slot
-            = entry->timed_slot;
+      FB_INVARIANT (g_ptr_array_index (table->timed, entry->timed_index) == entry);
+      g_ptr_array_remove_index_fast (table->timed, entry->timed_index);
+      if (entry->timed_index < table->timed->len)
+        ((fm_entry_t *)g_ptr_array_index (table->timed, entry->timed_index))->timed_index
+            = entry->timed_index;
     }
   entry->deadline = deadline;
 }
 
 void
-fm_advance_probe (fm_table_t *table, fm_entry_t *entry)
+fm_set_next_probe_target (fm_table_t *table, fm_entry_t *entry)
 {
   if (entry == table->self || entry->member.state == FW_DEAD)
     return;
-  if (entry->set_slot < table->cursor)
-    table->cursor--;
-  swap_in_order (table, entry->set_slot, table->cursor);
+  if (entry->list_index < table->probe_cursor)
+    table->probe_cursor--;
+  swap_in_order (table, entry->list_index, table->probe_cursor);
 }
 
 void
-fm_open_index (fm_table_t *table)
+fm_create_indexes (fm_table_t *table)
 {
   table->by_id = g_hash_table_new_full (fb_hash_name_key, fb_equal_name_keys, NULL, g_free);
   table->services
       = g_hash_table_new_full (fb_hash_name_key, fb_equal_name_keys, NULL, destroy_service);
   table->sorted = g_ptr_array_new ();
-  table->order = g_ptr_array_new ();
+  table->probe_order = g_ptr_array_new ();
   table->dead = g_ptr_array_new ();
   table->timed = g_ptr_array_new ();
 }
 
 void
-fm_close_index (fm_table_t *table)
+fm_destroy_indexes (fm_table_t *table)
 {
   g_ptr_array_free (table->sorted, TRUE);
-  g_ptr_array_free (table->order, TRUE);
+  g_ptr_array_free (table->probe_order, TRUE);
   g_ptr_array_free (table->dead, TRUE);
   g_ptr_array_free (table->timed, TRUE);
   g_hash_table_destroy (table->services);
--- a/packages/member/source/member-listing.c
+++ b/packages/member/source/member-listing.c
@@ -6,7 +6,7 @@
 
 /* Removed endpoints remembered for those who follow the changes: about a quarter of a fleet of
  * 1,000 that is replaced. */
-#define REMOVED_MAX 256
+#define REMOVED_ENDPOINTS_MAX 256
 
 typedef struct
 {
@@ -27,12 +27,12 @@
   const fb_clock_t *clock;
   fm_endpoint_fn_t changed;
   void *user;
-  GHashTable *entries; /* listed_t by id */
-  uint64_t sequence;   /* of the last change */
-  GQueue removed;      /* removed_t, oldest first */
-  uint64_t forgotten;  /* sequence of the last removal that is no longer remembered */
-  bool lost;
-  fb_time_t settled_at; /* from here on a missing entry is gone */
+  GHashTable *entries;         /* listed_t by id */
+  uint64_t sequence;           /* of the last change */
+  GQueue removed;              /* removed_t, oldest first */
+  uint64_t discarded_sequence; /* sequence of the last removal that is no longer remembered */
+  bool source_unavailable;
+  fb_time_t grace_ends_at; /* from here on a missing entry is gone */
 };
 
 fm_listing_t *
@@ -96,28 +96,29 @@
 
 /* Tells that ENTRY is gone; the caller removes it. */
 static void
-report_gone (fm_listing_t *listing, const listed_t *entry)
+report_removal (fm_listing_t *listing, const listed_t *entry)
 {
-  removed_t *gone = g_new0 (removed_t, 1);
+  removed_t *removed = g_new0 (removed_t, 1);
 
-  gone->endpoint = entry->endpoint;
-  gone->endpoint.member.state = FW_DEAD;
-  gone->sequence = ++listing->sequence;
-  g_queue_push_tail (&listing->removed, gone);
-  if (listing->removed.length > REMOVED_MAX)
+  removed->endpoint = entry->endpoint;
+  removed->endpoint.member.state = FW_DEAD;
+  removed->sequence = ++listing->sequence;
+  g_queue_push_tail (&listing->removed, removed);
+  if (listing->removed.length > REMOVED_ENDPOINTS_MAX)
     {
       removed_t *oldest = g_queue_pop_head (&listing->removed);
 
-      listing->forgotten = oldest->sequence;
+      listing->discarded_sequence = oldest->sequence;
       g_free (oldest);
     }
-  listing->changed (&gone->endpoint, listing->user);
+  listing->changed (&removed->endpoint, listing->user);
 }
 
 bool
 fm_is_settled (const fm_listing_t *listing)
 {
-  return !listing->lost && fb_read_clock (listing->clock) >= listing->settled_at;
+  return !listing->source_unavailable
+         && fb_read_clock (listing->clock) >= listing->grace_ends_at;
 }
 
 void
@@ -132,7 +133,7 @@
       entry->missing = true;
       return;
     }
-  report_gone (listing, entry);
+  report_removal (listing, entry);
   g_hash_table_remove (listing->entries, id);
 }
 
@@ -166,16 +167,16 @@
 void
 fm_mark_source_unavailable (fm_listing_t *listing)
 {
-  listing->lost = true;
+  listing->source_unavailable = true;
 }
 
 void
 fm_mark_source_available (fm_listing_t *listing)
 {
-  if (!listing->lost)
+  if (!listing->source_unavailable)
     return;
-  listing->lost = false;
-  listing->settled_at = fb_read_clock (listing->clock) + FM_RELIST_GRACE;
+  listing->source_unavailable = false;
+  listing->grace_ends_at = fb_read_clock (listing->clock) + FM_RELIST_GRACE;
 }
 
 void
@@ -193,7 +194,7 @@
 
       if (!entry->missing)
         continue;
-      report_gone (listing, entry);
+      report_removal (listing, entry);
       g_hash_table_iter_remove (&iter);
     }
 }
@@ -217,7 +218,7 @@
   GHashTableIter iter;
   gpointer value;
 
-  if (sequence > 0 && sequence < listing->forgotten)
+  if (sequence > 0 && sequence < listing->discarded_sequence)
     return false;
   /* An id that was removed and listed again stands in both; the later one counts. */
   for (const GList *link = listing->removed.head; link && sequence > 0; link = link->next)
--- a/packages/member/source/member-probe.c
+++ b/packages/member/source/member-probe.c
@@ -6,41 +6,41 @@
 #define DEAD_PROBE_PERIOD (3 * FB_SECOND)
 
 static void
-count_health (fm_table_t *table, int change)
+adjust_health (fm_table_t *table, int change)
 {
-  if (change < 0 && table->health > 0)
-    table->health--;
-  if (change > 0 && table->health + 1 < table->options.health_multiplier_max)
-    table->health++;
-  fb_set_counter (table->counters.health, table->health);
+  if (change < 0 && table->health_score > 0)
+    table->health_score--;
+  if (change > 0 && table->health_score + 1 < table->options.health_multiplier_max)
+    table->health_score++;
+  fb_set_counter (table->counters.health, table->health_score);
 }
 
 static void
 send_ping (fm_table_t *table, const fm_entry_t *to, uint64_t sequence)
 {
-  fm_told_t told = { 0 };
+  fm_priority_updates_t priority = { 0 };
 
   /* An accused member must hear of it in time to refute. */
   if (to->member.state == FW_SUSPECT || to->member.state == FW_DEAD)
-    fm_add_told (&told, to);
+    fm_add_priority_update (&priority, to);
   fm_send_datagram (table, FW_PING, sequence, &to->member.address, to->member.control_port,
-                    &to->member.id, &told);
+                    &to->member.id, &priority);
 }
 
 static void
 shuffle_order (fm_table_t *table)
 {
-  for (guint i = table->order->len; i > 1; i--)
+  for (guint i = table->probe_order->len; i > 1; i--)
     {
       guint other = (guint)g_rand_int_range (table->random, 0, (gint32)i);
-      fm_entry_t *first = g_ptr_array_index (table->order, i - 1);
-      fm_entry_t *second = g_ptr_array_index (table->order, other);
-      table->order->pdata[i - 1] = second;
-      table->order->pdata[other] = first;
-      second->set_slot = i - 1;
-      first->set_slot = other;
+      fm_entry_t *first = g_ptr_array_index (table->probe_order, i - 1);
+      fm_entry_t *second = g_ptr_array_index (table->probe_order, other);
+      table->probe_order->pdata[i - 1] = second;
+      table->probe_order->pdata[other] = first;
+      second->list_index = i - 1;
+      first->list_index = other;
     }
-  table->cursor = 0;
+  table->probe_cursor = 0;
 }
 
 static void
@@ -48,20 +48,20 @@
 {
   fm_probe_t *probe = &table->probe;
   fm_entry_t *target;
-  fb_time_t multiplier = (fb_time_t)table->health + 1;
+  fb_time_t multiplier = (fb_time_t)table->health_score + 1;
 
-  if (table->order->len == 0)
+  if (table->probe_order->len == 0)
     return;
-  if (table->cursor >= table->order->len)
+  if (table->probe_cursor >= table->probe_order->len)
     shuffle_order (table);
-  target = g_ptr_array_index (table->order, table->cursor++);
+  target = g_ptr_array_index (table->probe_order, table->probe_cursor++);
   probe->active = true;
-  probe->indirect = false;
+  probe->indirect_sent = false;
   probe->id = target->member.id;
   probe->incarnation = target->member.incarnation;
   probe->sequence = ++table->sequence;
-  probe->indirect_at = now + table->options.ack_timeout * multiplier;
-  probe->ends = now + table->options.probe_period * multiplier;
+  probe->indirect_pings_at = now + table->options.ack_timeout * multiplier;
+  probe->deadline = now + table->options.probe_period * multiplier;
   send_ping (table, target, probe->sequence);
 }
 
@@ -69,19 +69,19 @@
 send_indirect_pings (fm_table_t *table)
 {
   fm_probe_t *probe = &table->probe;
-  guint members = table->order->len;
+  guint members = table->probe_order->len;
   guint start = (guint)g_rand_int_range (table->random, 0, (gint32)members);
-  uint32_t asked = 0;
+  uint32_t requested = 0;
 
-  probe->indirect = true;
-  for (guint i = 0; i < members && asked < table->options.indirect_probes; i++)
+  probe->indirect_sent = true;
+  for (guint i = 0; i < members && requested < table->options.indirect_probes; i++)
     {
-      const fm_entry_t *helper = g_ptr_array_index (table->order, (start + i) % members);
+      const fm_entry_t *helper = g_ptr_array_index (table->probe_order, (start + i) % members);
       if (helper->member.state == FW_SUSPECT || fb_equal_name (&helper->member.id, &probe->id))
         continue;
       fm_send_datagram (table, FW_PING_REQ, probe->sequence, &helper->member.address,
                         helper->member.control_port, &probe->id, NULL);
-      asked++;
+      requested++;
     }
 }
 
@@ -98,21 +98,21 @@
       table->probe.active = false;
       return;
     }
-  if (now >= table->probe.indirect_at && !table->probe.indirect)
+  if (now >= table->probe.indirect_pings_at && !table->probe.indirect_sent)
     send_indirect_pings (table);
-  if (now < table->probe.ends)
+  if (now < table->probe.deadline)
     return;
   table->probe.active = false;
   fb_add_counter (table->counters.probes_failed, 1);
   /* The multiplier follows earlier probes: one dead target is no sign of bad local health. */
   fm_suspect_entry (table, target);
-  count_health (table, 1);
+  adjust_health (table, 1);
 }
 
 static void
 probe_dead_member (fm_table_t *table, fb_time_t now)
 {
-  table->next_dead_probe = now + DEAD_PROBE_PERIOD;
+  table->next_dead_probe_at = now + DEAD_PROBE_PERIOD;
   if (table->dead->len == 0)
     return;
   table->dead_cursor = (table->dead_cursor + 1) % table->dead->len;
@@ -127,7 +127,7 @@
       fm_relay_t *relay = &table->relays[i];
       if (relay->sequence == 0 || relay->sequence != datagram->sequence
           || !fb_equal_name (&relay->target, &datagram->sender.id)
-          || relay->expires < fb_read_clock (table->clock))
+          || relay->expires_at < fb_read_clock (table->clock))
         continue;
       relay->sequence = 0;
       fm_send_datagram (table, FW_ACK, relay->requester_sequence, &relay->address, relay->port,
@@ -141,12 +141,12 @@
 {
   if (table->probe.active)
     run_outstanding_probe (table, now);
-  if (!table->probe.active && now >= table->next_probe)
+  if (!table->probe.active && now >= table->next_probe_at)
     {
-      table->next_probe = now + table->options.probe_period;
+      table->next_probe_at = now + table->options.probe_period;
       start_probe (table, now);
     }
-  if (now >= table->next_dead_probe)
+  if (now >= table->next_dead_probe_at)
     probe_dead_member (table, now);
 }
 
@@ -163,7 +163,7 @@
       probe->active = false;
       /* Late acks point at this node rather than at all the members it probes. */
       if (direct)
-        count_health (table, probe->indirect ? 1 : -1);
+        adjust_health (table, probe->indirect_sent ? 1 : -1);
     }
   else if (direct)
     forward_ack (table, datagram);
@@ -184,7 +184,7 @@
   relay->target = datagram->target;
   relay->address = datagram->sender.address;
   relay->port = datagram->sender.control_port;
-  relay->expires
+  relay->expires_at
       = fb_read_clock (table->clock)
         + table->options.probe_period * (fb_time_t)table->options.health_multiplier_max;
   send_ping (table, target, relay->sequence);
@@ -194,7 +194,7 @@
 fm_reset_probes (fm_table_t *table, fb_time_t now)
 {
   table->probe.active = false;
-  table->next_probe = now + table->options.probe_period;
+  table->next_probe_at = now + table->options.probe_period;
   for (size_t i = 0; i < FM_RELAYS_MAX; i++)
     table->relays[i].sequence = 0;
 }
--- a/packages/member/source/member-queue.c
+++ b/packages/member/source/member-queue.c
@@ -5,16 +5,17 @@
 
 /* Changes older than this are no longer added for a receiver whose member list differs; a list
  * exchange takes over. */
-#define RECENT_AGE (30 * FB_SECOND)
+#define RECENT_CHANGE_AGE_MAX (30 * FB_SECOND)
 
-/* Returns how often each update is sent: FM_TRANSMITS_BASE + log2 of the members not dead. */
+/* Returns how often each update is sent: FM_BASE_TRANSMISSIONS + log2 of the members not dead.
+ */
 static uint32_t
-get_transmit_limit (const fm_table_t *table)
+get_transmission_limit (const fm_table_t *table)
 {
-  size_t members = table->order->len + 1;
-  uint32_t limit = FM_TRANSMITS_BASE + g_bit_storage (members - 1);
+  size_t members = table->probe_order->len + 1;
+  uint32_t limit = FM_BASE_TRANSMISSIONS + g_bit_storage (members - 1);
 
-  FB_INVARIANT (limit < FM_QUEUES);
+  FB_INVARIANT (limit < FM_QUEUE_COUNT);
   return limit;
 }
 
@@ -28,9 +29,10 @@
 static void
 add_to_draft (fm_table_t *table, draft_t *draft, fm_entry_t *entry)
 {
-  if (entry->picked == table->picks || draft->datagram.update_count == FW_UPDATES_MAX)
+  if (entry->last_datagram == table->datagrams_built
+      || draft->datagram.update_count == FW_UPDATES_MAX)
     return;
-  entry->picked = table->picks;
+  entry->last_datagram = table->datagrams_built;
   /* The sender field describes this node already. */
   if (entry == table->self)
     return;
@@ -39,18 +41,18 @@
 }
 
 static void
-choose_updates (fm_table_t *table, draft_t *draft, const fm_told_t *told)
+choose_updates (fm_table_t *table, draft_t *draft, const fm_priority_updates_t *priority)
 {
-  fb_time_t oldest = fb_read_clock (table->clock) - RECENT_AGE;
+  fb_time_t oldest = fb_read_clock (table->clock) - RECENT_CHANGE_AGE_MAX;
 
-  table->picks++;
-  for (size_t i = 0; told && i < told->count; i++)
-    add_to_draft (table, draft, (fm_entry_t *)told->entries[i]);
-  for (size_t i = 0; i < FM_QUEUES; i++)
+  table->datagrams_built++;
+  for (size_t i = 0; priority && i < priority->count; i++)
+    add_to_draft (table, draft, (fm_entry_t *)priority->entries[i]);
+  for (size_t i = 0; i < FM_QUEUE_COUNT; i++)
     for (GList *link = table->queues[i].head;
          link && draft->datagram.update_count < FW_UPDATES_MAX; link = link->next)
       add_to_draft (table, draft, link->data);
-  if (!told || !told->repair)
+  if (!priority || !priority->include_recent)
     return;
   for (GList *link = table->recent.head; link; link = link->next)
     {
@@ -68,11 +70,11 @@
 {
   if (!entry->queued)
     return;
-  g_queue_unlink (&table->queues[entry->sent], &entry->queue_link);
-  entry->sent++;
-  if (entry->sent < get_transmit_limit (table))
+  g_queue_unlink (&table->queues[entry->transmissions], &entry->queue_link);
+  entry->transmissions++;
+  if (entry->transmissions < get_transmission_limit (table))
     {
-      g_queue_push_tail_link (&table->queues[entry->sent], &entry->queue_link);
+      g_queue_push_tail_link (&table->queues[entry->transmissions], &entry->queue_link);
       return;
     }
   entry->queued = false;
@@ -82,8 +84,8 @@
 void
 fm_queue_entry (fm_table_t *table, fm_entry_t *entry)
 {
-  fm_unqueue_entry (table, entry);
-  entry->sent = 0;
+  fm_dequeue_entry (table, entry);
+  entry->transmissions = 0;
   entry->queued = true;
   table->queued_count++;
   g_queue_push_tail_link (&table->queues[0], &entry->queue_link);
@@ -93,11 +95,11 @@
 }
 
 void
-fm_unqueue_entry (fm_table_t *table, fm_entry_t *entry)
+fm_dequeue_entry (fm_table_t *table, fm_entry_t *entry)
 {
   if (!entry->queued)
     return;
-  g_queue_unlink (&table->queues[entry->sent], &entry->queue_link);
+  g_queue_unlink (&table->queues[entry->transmissions], &entry->queue_link);
   entry->queued = false;
   table->queued_count--;
 }
@@ -105,7 +107,7 @@
 void
 fm_send_datagram (fm_table_t *table, fw_datagram_kind_t kind, uint64_t sequence,
                   const fb_name_t *address, uint16_t port, const fb_name_t *target,
-                  const fm_told_t *told)
+                  const fm_priority_updates_t *priority)
 {
   draft_t draft;
   uint8_t buffer[FW_DATAGRAM_MAX];
@@ -120,12 +122,12 @@
   draft.datagram.members_digest = table->digest;
   if (target)
     draft.datagram.target = *target;
-  choose_updates (table, &draft, told);
+  choose_updates (table, &draft, priority);
   if (fw_encode_datagram (&draft.datagram, buffer, &length, &fitted) != FB_OK)
     return;
   for (size_t i = 0; i < fitted; i++)
     count_transmission (table, draft.entries[i]);
-  if (table->self->picked == table->picks)
+  if (table->self->last_datagram == table->datagrams_built)
     count_transmission (table, table->self);
   fb_add_counter (table->counters.sent, 1);
   fb_add_counter (table->counters.sent_bytes, length);
@@ -133,16 +135,16 @@
 }
 
 void
-fm_send_gossip (fm_table_t *table, const fm_entry_t *to, const fm_told_t *told)
+fm_send_gossip (fm_table_t *table, const fm_entry_t *to, const fm_priority_updates_t *priority)
 {
   fm_send_datagram (table, FW_GOSSIP, 0, &to->member.address, to->member.control_port, NULL,
-                    told);
+                    priority);
 }
 
 void
 fm_run_gossip (fm_table_t *table)
 {
-  guint members = table->order->len;
+  guint members = table->probe_order->len;
 
   /* Walking the shuffled order gives each copy of an update to a different member. */
   for (uint32_t i = 0; i < table->options.gossip_fanout && i < members; i++)
@@ -150,6 +152,7 @@
       if (table->queued_count == 0)
         return;
       table->gossip_cursor = (table->gossip_cursor + 1) % members;
-      fm_send_gossip (table, g_ptr_array_index (table->order, table->gossip_cursor), NULL);
+      fm_send_gossip (table, g_ptr_array_index (table->probe_order, table->gossip_cursor),
+                      NULL);
     }
 }
--- a/packages/member/source/member-table.c
+++ b/packages/member/source/member-table.c
@@ -3,11 +3,11 @@
 #include <foxtailrun/base/invariant.h>
 
 /* A tick this late means that the process was paused. */
-#define PAUSE_MIN (2 * FB_SECOND)
+#define PAUSE_THRESHOLD (2 * FB_SECOND)
 
 /* Members that a new version is announced to at once. */
-#define ANNOUNCE_ZONE 2
-#define ANNOUNCE_TOTAL 4
+#define ANNOUNCE_SAME_ZONE_COUNT 2
+#define ANNOUNCE_COUNT 4
 
 static void
 open_counters (fm_table_t *table, fb_counters_t *counters)
@@ -45,7 +45,7 @@
     {
       fm_entry_t *entry = g_ptr_array_index (table->timed, i);
       entry->deadline = entry->member.state == FW_DEAD ? entry->deadline + gap
-                                                       : now + fm_get_suspicion (table);
+                                                       : now + fm_get_suspicion_timeout (table);
     }
 }
 
@@ -60,7 +60,7 @@
 } placement_t;
 
 static bool
-is_placed (const fw_member_t *self, const fw_member_t *member, placement_t placement)
+matches_placement (const fw_member_t *self, const fw_member_t *member, placement_t placement)
 {
   bool region = fb_equal_name (&self->region, &member->region);
   bool zone = region && fb_equal_name (&self->zone, &member->zone);
@@ -85,17 +85,17 @@
 announce_to (fm_table_t *table, placement_t placement, size_t limit, const fm_entry_t **chosen,
              size_t count)
 {
-  guint members = table->order->len;
+  guint members = table->probe_order->len;
   guint start = (guint)g_rand_int_range (table->random, 0, (gint32)members);
   size_t first = count;
 
   for (guint i = 0; i < members && count - first < limit; i++)
     {
-      const fm_entry_t *entry = g_ptr_array_index (table->order, (start + i) % members);
-      bool taken = !is_placed (&table->self->member, &entry->member, placement);
+      const fm_entry_t *entry = g_ptr_array_index (table->probe_order, (start + i) % members);
+      bool skip = !matches_placement (&table->self->member, &entry->member, placement);
       for (size_t j = 0; j < count; j++)
-        taken = taken || chosen[j] == entry;
-      if (taken)
+        skip = skip || chosen[j] == entry;
+      if (skip)
         continue;
       chosen[count++] = entry;
       fm_send_gossip (table, entry, NULL);
@@ -133,14 +133,14 @@
   table->clock = clock;
   table->random = g_rand_new_with_seed (seed);
   table->sequence = g_rand_int (table->random);
-  table->matched_at = now;
+  table->digest_matched_at = now;
   table->last_tick = now;
   /* Nodes that start together probe at different times. */
-  table->next_probe
+  table->next_probe_at
       = now + (fb_time_t)(g_rand_double (table->random) * table->options.probe_period);
-  table->next_dead_probe = table->next_probe;
+  table->next_dead_probe_at = table->next_probe_at;
   open_counters (table, counters);
-  fm_open_index (table);
+  fm_create_indexes (table);
   fm_queue_entry (table, fm_insert_entry (table, self));
   return table;
 }
@@ -150,7 +150,7 @@
 {
   if (!table)
     return;
-  fm_close_index (table);
+  fm_destroy_indexes (table);
   g_rand_free (table->random);
   g_free (table);
 }
@@ -162,13 +162,13 @@
   fb_time_t gap = now - table->last_tick;
 
   table->last_tick = now;
-  if (gap > PAUSE_MIN)
+  if (gap > PAUSE_THRESHOLD)
     resume_after_pause (table, now, gap);
   fm_run_probes (table, now);
   /* A timer that fires a little early must not cost a whole round. */
-  if (now < table->next_gossip - table->options.gossip_period / 4)
+  if (now < table->next_gossip_at - table->options.gossip_period / 4)
     return;
-  table->next_gossip = MAX (table->next_gossip, now) + table->options.gossip_period;
+  table->next_gossip_at = MAX (table->next_gossip_at, now) + table->options.gossip_period;
   fm_run_deadlines (table, now);
   fm_run_gossip (table);
 }
@@ -190,7 +190,7 @@
     {
       const fw_member_t *member = &members[i];
       if (member->incarnation > 0)
-        fm_apply_update (table, member, FM_FROM_LIST, NULL);
+        fm_apply_update (table, member, FM_SOURCE_LIST, NULL);
       else if (!fm_find_entry (table, &member->id) && member->address.len > 0)
         fm_probe_address (table, &member->address, member->control_port);
     }
@@ -205,15 +205,15 @@
 void
 fm_announce_version (fm_table_t *table)
 {
-  const fm_entry_t *chosen[ANNOUNCE_TOTAL];
+  const fm_entry_t *chosen[ANNOUNCE_COUNT];
   size_t count = 0;
 
-  if (table->order->len == 0)
+  if (table->probe_order->len == 0)
     return;
-  count = announce_to (table, SAME_ZONE, ANNOUNCE_ZONE, chosen, count);
+  count = announce_to (table, SAME_ZONE, ANNOUNCE_SAME_ZONE_COUNT, chosen, count);
   count = announce_to (table, OTHER_ZONE, 1, chosen, count);
   count = announce_to (table, OTHER_REGION, 1, chosen, count);
-  announce_to (table, ANYWHERE, ANNOUNCE_TOTAL - count, chosen, count);
+  announce_to (table, ANYWHERE, ANNOUNCE_COUNT - count, chosen, count);
 }
 
 void
@@ -253,7 +253,7 @@
 size_t
 fm_count_members (const fm_table_t *table, fw_member_state_t state)
 {
-  return table->counts[state];
+  return table->state_counts[state];
 }
 
 uint64_t
--- a/packages/member/source/member-table.h
+++ b/packages/member/source/member-table.h
@@ -14,17 +14,17 @@
 #define FM_MEMBERS_MAX 16384
 
 /* Transmissions of one update beyond log2 of the number of members. */
-#define FM_TRANSMITS_BASE 3
+#define FM_BASE_TRANSMISSIONS 3
 
-/* Length of the array of queues by transmission count: FM_TRANSMITS_BASE plus log2 of
+/* Length of the array of queues by transmission count: FM_BASE_TRANSMISSIONS plus log2 of
  * FM_MEMBERS_MAX, and one. */
-#define FM_QUEUES 18
+#define FM_QUEUE_COUNT 18
 
 /* Pings forwarded for other members and not yet answered, at most. */
 #define FM_RELAYS_MAX 64
 
 /* Updates that one outgoing datagram may carry for its receiver in particular. */
-#define FM_TOLD_MAX 4
+#define FM_PRIORITY_UPDATES_MAX 4
 
 typedef struct fm_entry fm_entry_t;
 
@@ -38,15 +38,15 @@
 struct fm_entry
 {
   fw_member_t member;
-  uint64_t digest;       /* contribution to the members digest */
-  fb_time_t deadline;    /* end of suspicion or of the retention; 0 for none */
-  fb_time_t changed_at;  /* last change learnt by gossip; 0 when learnt from a list */
-  guint set_slot;        /* position in ORDER, or in DEAD for a dead member */
-  guint timed_slot;      /* position in TIMED while DEADLINE is set */
-  guint service_slot;    /* position in SERVICE's entries */
-  fm_service_t *service; /* NULL while not offered */
-  uint32_t sent;         /* transmissions of the current update */
-  uint64_t picked;       /* number of the last datagram built with this entry */
+  uint64_t digest;        /* contribution to the members digest */
+  fb_time_t deadline;     /* end of suspicion or of the retention; 0 for none */
+  fb_time_t changed_at;   /* last change learnt by gossip; 0 when learnt from a list */
+  guint list_index;       /* position in ORDER, or in DEAD for a dead member */
+  guint timed_index;      /* position in TIMED while DEADLINE is set */
+  guint service_index;    /* position in SERVICE's entries */
+  fm_service_t *service;  /* NULL while not offered */
+  uint32_t transmissions; /* transmissions of the current update */
+  uint64_t last_datagram; /* number of the last datagram built with this entry */
   bool queued;
   GList queue_link;
   GList recent_link;
@@ -56,12 +56,12 @@
 typedef struct
 {
   bool active;
-  bool indirect; /* the indirect pings were sent */
+  bool indirect_sent; /* the indirect pings were sent */
   fb_name_t id;
   uint64_t incarnation; /* of the target when the probe started */
   uint64_t sequence;
-  fb_time_t indirect_at;
-  fb_time_t ends;
+  fb_time_t indirect_pings_at;
+  fb_time_t deadline;
 } fm_probe_t;
 
 /* A ping sent on behalf of another member. */
@@ -72,7 +72,7 @@
   fb_name_t target;
   fb_name_t address; /* of the requester */
   uint16_t port;
-  fb_time_t expires;
+  fb_time_t expires_at;
 } fm_relay_t;
 
 typedef struct
@@ -94,57 +94,57 @@
   fb_version_t version;
   fb_time_t last_tick; /* or the creation */
 
-  GHashTable *by_id;    /* fb_name_t in the entry -> fm_entry_t, owned */
-  GPtrArray *sorted;    /* all entries by id */
-  GPtrArray *order;     /* members to probe: all others that are not dead */
-  guint cursor;         /* entries of ORDER before it were probed in this round */
-  GPtrArray *dead;      /* dead members within the retention */
-  GPtrArray *timed;     /* entries with a deadline */
-  GHashTable *services; /* fb_name_t in the service -> fm_service_t, owned */
-  size_t counts[FW_DEAD + 1];
+  GHashTable *by_id;      /* fb_name_t in the entry -> fm_entry_t, owned */
+  GPtrArray *sorted;      /* all entries by id */
+  GPtrArray *probe_order; /* members to probe: all others that are not dead */
+  guint probe_cursor;     /* entries of ORDER before it were probed in this round */
+  GPtrArray *dead;        /* dead members within the retention */
+  GPtrArray *timed;       /* entries with a deadline */
+  GHashTable *services;   /* fb_name_t in the service -> fm_service_t, owned */
+  size_t state_counts[FW_DEAD + 1];
   uint64_t digest;
-  fb_time_t digest_changed;
+  fb_time_t digest_changed_at;
 
-  GQueue queues[FM_QUEUES]; /* updates to send, by transmissions so far */
+  GQueue queues[FM_QUEUE_COUNT]; /* updates to send, by transmissions so far */
   size_t queued_count;
-  GQueue recent;  /* all entries, last changed first */
-  uint64_t picks; /* datagrams built */
+  GQueue recent;            /* all entries, last changed first */
+  uint64_t datagrams_built; /* datagrams built */
 
   fm_probe_t probe;
-  fb_time_t next_probe;
-  fb_time_t next_gossip;
-  fb_time_t next_dead_probe;
-  fb_time_t next_correction;
-  fb_time_t next_conflict;
+  fb_time_t next_probe_at;
+  fb_time_t next_gossip_at;
+  fb_time_t next_dead_probe_at;
+  fb_time_t next_correction_at;
+  fb_time_t next_conflict_refutation_at;
   guint dead_cursor;
   guint gossip_cursor;
   uint64_t sequence;
-  uint32_t health; /* 0 is healthy; the timeouts are multiplied by HEALTH + 1 */
+  uint32_t health_score; /* 0 is healthy; the timeouts are multiplied by HEALTH + 1 */
   fm_relay_t relays[FM_RELAYS_MAX];
   guint next_relay;
 
-  fb_time_t matched_at;    /* last datagram with the own digest */
-  uint64_t foreign_digest; /* another digest heard while the own one stood still */
-  fb_time_t foreign_since; /* 0 for none */
-  fb_time_t next_diverged;
+  fb_time_t digest_matched_at; /* last datagram with the own digest */
+  uint64_t peer_digest;        /* another digest heard while the own one stood still */
+  fb_time_t peer_digest_since; /* 0 for none */
+  fb_time_t next_divergence_at;
 };
 
 /* Where an update comes from. */
 typedef enum
 {
-  FM_FROM_SUBJECT,  /* the member describes itself */
-  FM_FROM_GOSSIP,   /* piggybacked on a datagram */
-  FM_FROM_LIST,     /* a peer's member list */
-  FM_FROM_DETECTOR, /* this node's own probes and timers */
+  FM_SOURCE_SUBJECT,  /* the member describes itself */
+  FM_SOURCE_GOSSIP,   /* piggybacked on a datagram */
+  FM_SOURCE_LIST,     /* a peer's member list */
+  FM_SOURCE_DETECTOR, /* this node's own probes and timers */
 } fm_source_t;
 
 /* Updates for the receiver of one datagram, sent ahead of the queued ones. */
 typedef struct
 {
   size_t count;
-  const fm_entry_t *entries[FM_TOLD_MAX];
-  bool repair; /* the receiver's member list differs: add recent changes */
-} fm_told_t;
+  const fm_entry_t *entries[FM_PRIORITY_UPDATES_MAX];
+  bool include_recent; /* the receiver's member list differs: add recent changes */
+} fm_priority_updates_t;
 
 /* member-index.c */
 
@@ -159,23 +159,24 @@
 /* Sets the deadline of ENTRY; 0 removes it. */
 void fm_set_deadline (fm_table_t *table, fm_entry_t *entry, fb_time_t deadline);
 /* Makes ENTRY the next member to be probed. */
-void fm_advance_probe (fm_table_t *table, fm_entry_t *entry);
+void fm_set_next_probe_target (fm_table_t *table, fm_entry_t *entry);
 /* Creates and frees the indexes. */
-void fm_open_index (fm_table_t *table);
-void fm_close_index (fm_table_t *table);
+void fm_create_indexes (fm_table_t *table);
+void fm_destroy_indexes (fm_table_t *table);
 
 /* member-queue.c */
 
 /* Queues the current state of ENTRY for transmission and makes it the most recent change. */
 void fm_queue_entry (fm_table_t *table, fm_entry_t *entry);
 /* Takes ENTRY out of the queue. */
-void fm_unqueue_entry (fm_table_t *table, fm_entry_t *entry);
+void fm_dequeue_entry (fm_table_t *table, fm_entry_t *entry);
 /* Sends one datagram with as many updates as fit; TARGET and TOLD may be NULL. */
 void fm_send_datagram (fm_table_t *table, fw_datagram_kind_t kind, uint64_t sequence,
                        const fb_name_t *address, uint16_t port, const fb_name_t *target,
-                       const fm_told_t *told);
+                       const fm_priority_updates_t *priority);
 /* Sends a GOSSIP datagram to a member. */
-void fm_send_gossip (fm_table_t *table, const fm_entry_t *to, const fm_told_t *told);
+void fm_send_gossip (fm_table_t *table, const fm_entry_t *to,
+                     const fm_priority_updates_t *priority);
 /* Sends the queued updates to the next members, when there are any. */
 void fm_run_gossip (fm_table_t *table);
 
@@ -184,10 +185,10 @@
 /* Applies one update by the rules of the package. When a known entry contradicts an accusation
  * in UPDATE, it is added to TOLD, which may be NULL. */
 void fm_apply_update (fm_table_t *table, const fw_member_t *update, fm_source_t source,
-                      fm_told_t *told);
+                      fm_priority_updates_t *priority);
 /* Starts the suspicion of ENTRY after a failed probe. */
 /* Tells the owner, while this node is alive, that the host list has it leave. */
-void fm_hear_leaving (fm_table_t *table);
+void fm_request_leaving (fm_table_t *table);
 
 void fm_suspect_entry (fm_table_t *table, fm_entry_t *entry);
 /* Changes the own state or incarnation and queues it. */
@@ -195,9 +196,9 @@
 /* Ends suspicions and retentions that are over. */
 void fm_run_deadlines (fm_table_t *table, fb_time_t now);
 /* Adds ENTRY to the updates for a receiver, when there is room. */
-void fm_add_told (fm_told_t *told, const fm_entry_t *entry);
+void fm_add_priority_update (fm_priority_updates_t *priority, const fm_entry_t *entry);
 /* Returns the time that a suspicion lasts with the present local health. */
-fb_time_t fm_get_suspicion (const fm_table_t *table);
+fb_time_t fm_get_suspicion_timeout (const fm_table_t *table);
 
 /* member-probe.c */
 
--- a/packages/member/source/member-update.c
+++ b/packages/member/source/member-update.c
@@ -17,7 +17,7 @@
 
   if (entry->member.state == FW_SUSPECT)
     {
-      fm_set_deadline (table, entry, now + fm_get_suspicion (table));
+      fm_set_deadline (table, entry, now + fm_get_suspicion_timeout (table));
       fb_add_counter (table->counters.suspicions, 1);
     }
   else if (entry->member.state == FW_DEAD)
@@ -30,7 +30,7 @@
 }
 
 static void
-change_entry (fm_table_t *table, fm_entry_t *entry, const fw_member_t *member)
+update_entry (fm_table_t *table, fm_entry_t *entry, const fw_member_t *member)
 {
   fw_member_t previous = entry->member;
 
@@ -42,10 +42,10 @@
 
 /* Least time between two refutations of another process that speaks under this node's id: the
  * two would answer each other without end, at the cost of the whole fleet. */
-#define CONFLICT_PERIOD FB_SECOND
+#define CONFLICT_REFUTATION_INTERVAL FB_SECOND
 
 void
-fm_hear_leaving (fm_table_t *table)
+fm_request_leaving (fm_table_t *table)
 {
   if (table->self->member.state == FW_ALIVE && table->hooks.leave_requested)
     table->hooks.leave_requested (table->hooks.user);
@@ -61,12 +61,12 @@
     return;
   if (entry == table->self)
     {
-      fm_hear_leaving (table);
+      fm_request_leaving (table);
       return;
     }
   next = entry->member;
   next.state = FW_LEAVING;
-  change_entry (table, entry, &next);
+  update_entry (table, entry, &next);
 }
 
 /* An update about this node is only ever a reason to raise the own incarnation above it. */
@@ -82,15 +82,15 @@
    */
   if (update->state == FW_LEAVING && update->incarnation == self->incarnation)
     {
-      fm_hear_leaving (table);
+      fm_request_leaving (table);
       return;
     }
   if (update->state == FW_ALIVE || update->state == FW_LEAVING)
     {
       fb_add_counter (table->counters.conflicts, 1);
-      if (now < table->next_conflict)
+      if (now < table->next_conflict_refutation_at)
         return;
-      table->next_conflict = now + CONFLICT_PERIOD;
+      table->next_conflict_refutation_at = now + CONFLICT_REFUTATION_INTERVAL;
     }
   if (update->incarnation >= FM_INCARNATION_MAX)
     {
@@ -119,7 +119,7 @@
   entry = fm_insert_entry (table, update);
   start_deadline (table, entry);
   /* The peer's list comes from members that know these entries already. */
-  if (source != FM_FROM_LIST)
+  if (source != FM_SOURCE_LIST)
     fm_queue_entry (table, entry);
   report_change (table, entry, NULL);
 }
@@ -127,36 +127,37 @@
 /* Changes UPDATE, an accusation of a member held to be alive under the same incarnation, to
  * what its source permits; returns whether anything is left of it. */
 static bool
-weigh_accusation (fm_table_t *table, fm_entry_t *entry, fw_member_t *update, fm_source_t source)
+restrict_accusation (fm_table_t *table, fm_entry_t *entry, fw_member_t *update,
+                     fm_source_t source)
 {
   /* After a partition the other side's list declares this whole side dead: probing decides. */
-  if (source == FM_FROM_LIST)
+  if (source == FM_SOURCE_LIST)
     {
-      fm_advance_probe (table, entry);
+      fm_set_next_probe_target (table, entry);
       return false;
     }
   /* A death without a suspicion here leaves the member no time to refute it. */
-  if (source == FM_FROM_GOSSIP)
+  if (source == FM_SOURCE_GOSSIP)
     update->state = FW_SUSPECT;
   return true;
 }
 
 void
-fm_add_told (fm_told_t *told, const fm_entry_t *entry)
+fm_add_priority_update (fm_priority_updates_t *priority, const fm_entry_t *entry)
 {
-  if (told->count < FM_TOLD_MAX)
-    told->entries[told->count++] = entry;
+  if (priority->count < FM_PRIORITY_UPDATES_MAX)
+    priority->entries[priority->count++] = entry;
 }
 
 fb_time_t
-fm_get_suspicion (const fm_table_t *table)
+fm_get_suspicion_timeout (const fm_table_t *table)
 {
-  return table->options.suspect_timeout * (table->health + 1);
+  return table->options.suspect_timeout * (table->health_score + 1);
 }
 
 void
 fm_apply_update (fm_table_t *table, const fw_member_t *update, fm_source_t source,
-                 fm_told_t *told)
+                 fm_priority_updates_t *priority)
 {
   fw_member_t next = *update;
   fm_entry_t *entry;
@@ -179,9 +180,9 @@
     }
   if (!fw_overrides (update, &entry->member))
     {
-      if (told && (update->state == FW_SUSPECT || update->state == FW_DEAD)
+      if (priority && (update->state == FW_SUSPECT || update->state == FW_DEAD)
           && fw_overrides (&entry->member, update))
-        fm_add_told (told, entry);
+        fm_add_priority_update (priority, entry);
       return;
     }
   if (update->incarnation == entry->member.incarnation)
@@ -190,7 +191,7 @@
       next = entry->member;
       next.state = update->state;
       if (entry->member.state == FW_ALIVE && next.state != FW_LEAVING
-          && !weigh_accusation (table, entry, &next, source))
+          && !restrict_accusation (table, entry, &next, source))
         return;
     }
   else if (update->address.len == 0 || update->control_port == 0)
@@ -198,24 +199,25 @@
       fb_add_counter (table->counters.refused, 1);
       return;
     }
-  change_entry (table, entry, &next);
+  update_entry (table, entry, &next);
 }
 
 void
 fm_suspect_entry (fm_table_t *table, fm_entry_t *entry)
 {
   fw_member_t next = entry->member;
-  fm_told_t told = { 0 };
+  fm_priority_updates_t priority = { 0 };
 
   /* A leaving member stays leaving while it is suspected. */
   if (next.state == FW_LEAVING && entry->deadline == 0)
-    fm_set_deadline (table, entry, fb_read_clock (table->clock) + fm_get_suspicion (table));
+    fm_set_deadline (table, entry,
+                     fb_read_clock (table->clock) + fm_get_suspicion_timeout (table));
   if (next.state != FW_ALIVE)
     return;
   next.state = FW_SUSPECT;
-  change_entry (table, entry, &next);
-  fm_add_told (&told, entry);
-  fm_send_gossip (table, entry, &told);
+  update_entry (table, entry, &next);
+  fm_add_priority_update (&priority, entry);
+  fm_send_gossip (table, entry, &priority);
 }
 
 void
@@ -227,7 +229,7 @@
   FB_INVARIANT (state >= next.state);
   next.incarnation = incarnation;
   next.state = state;
-  change_entry (table, table->self, &next);
+  update_entry (table, table->self, &next);
 }
 
 void
@@ -246,6 +248,6 @@
           continue;
         }
       next.state = FW_DEAD;
-      change_entry (table, entry, &next);
+      update_entry (table, entry, &next);
     }
 }
--- a/packages/member/tests/fixture-fleet.c
+++ b/packages/member/tests/fixture-fleet.c
@@ -3,13 +3,13 @@
 #include <stdlib.h>
 
 /* Time between two readings of the host list, as a reader's. */
-#define HOST_LIST_PERIOD (30 * FB_SECOND)
+#define HOST_LIST_INTERVAL (30 * FB_SECOND)
 
 /* Time between the pings of a node that knows nobody. */
-#define SEED_PERIOD FB_SECOND
+#define SEED_PING_INTERVAL FB_SECOND
 
 /* The request for a node's member list; the answer is an array of members. */
-#define ASK ((fb_bytes_t){ (const uint8_t *)"?", 1 })
+#define LIST_REQUEST ((fb_bytes_t){ (const uint8_t *)"?", 1 })
 
 void
 fleet_fail (fleet_t *fleet, const char *format, ...)
@@ -80,7 +80,7 @@
 {
   fleet_node_t *node = user;
 
-  fx_send (node->fleet->network, node->index, parse_id (&peer->id), FX_STREAM, ASK);
+  fx_send (node->fleet->network, node->index, parse_id (&peer->id), FX_STREAM, LIST_REQUEST);
 }
 
 static bool
@@ -96,7 +96,7 @@
 {
   GArray *members = g_array_new (FALSE, FALSE, sizeof (fw_member_t));
 
-  if (bytes.len == ASK.len)
+  if (bytes.len == LIST_REQUEST.len)
     {
       fm_visit_members (node->table, collect_member, members);
       fx_send (
@@ -131,9 +131,9 @@
   fb_time_t now = fb_read_clock (fx_get_clock (fleet->network));
 
   fm_tick (node->table);
-  if (now >= node->next_host_list)
+  if (now >= node->next_host_list_at)
     {
-      node->next_host_list = now + HOST_LIST_PERIOD;
+      node->next_host_list_at = now + HOST_LIST_INTERVAL;
       for (size_t i = 0; i < fleet->count; i++)
         {
           fb_name_t id = make_id (i);
@@ -143,11 +143,11 @@
             fm_probe_address (node->table, &address, 7000);
         }
     }
-  if (now >= node->next_seeds && fm_count_members (node->table, FW_ALIVE) <= 1)
+  if (now >= node->next_seed_ping_at && fm_count_members (node->table, FW_ALIVE) <= 1)
     {
       fb_name_t address = make_address (
           &fleet->nodes[g_rand_int_range (fleet->random, 0, (gint32)fleet->count)]);
-      node->next_seeds = now + SEED_PERIOD;
+      node->next_seed_ping_at = now + SEED_PING_INTERVAL;
       fm_probe_address (node->table, &address, 7000);
     }
 }
@@ -166,24 +166,24 @@
 {
   scan_t *scan = user;
   size_t index = parse_id (&member->id);
-  seen_t *seen = &scan->node->seen[index];
+  observation_t *observed = &scan->node->observations[index];
   fb_time_t now = fb_read_clock (fx_get_clock (scan->node->fleet->network));
 
   scan->present[index] = true;
   scan->counts[member->state]++;
   if (member->state <= FW_SUSPECT)
     scan->offered++;
-  if (seen->known
-      && (member->incarnation < seen->incarnation
-          || (member->incarnation == seen->incarnation && member->state < seen->state)))
+  if (observed->known
+      && (member->incarnation < observed->incarnation
+          || (member->incarnation == observed->incarnation && member->state < observed->state)))
     fleet_fail (scan->node->fleet, "node-%02zu takes node-%02zu back from %s@%lu to %s@%lu",
-                scan->node->index, index, fw_describe_state (seen->state), seen->incarnation,
-                fw_describe_state (member->state), member->incarnation);
-  if (member->state == FW_DEAD && !(seen->known && seen->state == FW_DEAD))
-    seen->dead_since = now;
-  seen->known = true;
-  seen->incarnation = member->incarnation;
-  seen->state = member->state;
+                scan->node->index, index, fw_describe_state (observed->state),
+                observed->incarnation, fw_describe_state (member->state), member->incarnation);
+  if (member->state == FW_DEAD && !(observed->known && observed->state == FW_DEAD))
+    observed->dead_since = now;
+  observed->known = true;
+  observed->incarnation = member->incarnation;
+  observed->state = member->state;
   return true;
 }
 
@@ -193,12 +193,12 @@
   scan_t *scan = user;
   size_t index = parse_id (&member->id);
   const fleet_node_t *subject = &scan->node->fleet->nodes[index];
-  const seen_t *seen = &scan->node->seen[index];
+  const observation_t *observed = &scan->node->observations[index];
 
   scan->offered--;
-  if (seen->state > FW_SUSPECT)
+  if (observed->state > FW_SUSPECT)
     fleet_fail (scan->node->fleet, "node-%02zu offers node-%02zu, which is %s",
-                scan->node->index, index, fw_describe_state (seen->state));
+                scan->node->index, index, fw_describe_state (observed->state));
   if (subject == scan->node && subject->leaving)
     fleet_fail (scan->node->fleet, "node-%02zu offers itself while it leaves", index);
   return true;
@@ -215,13 +215,13 @@
   fm_visit_members (scan.node->table, scan_member, &scan);
   for (size_t i = 0; i < fleet->count; i++)
     {
-      seen_t *seen = &scan.node->seen[i];
-      if (!seen->known || scan.present[i])
+      observation_t *observed = &scan.node->observations[i];
+      if (!observed->known || scan.present[i])
         continue;
-      if (seen->state != FW_DEAD
-          || now - seen->dead_since < fm_get_default_options ().dead_retention)
+      if (observed->state != FW_DEAD
+          || now - observed->dead_since < fm_get_default_options ().dead_retention)
         fleet_fail (fleet, "node-%02zu forgets node-%02zu too early", index, i);
-      seen->known = false;
+      observed->known = false;
     }
   for (size_t i = 0; i <= FW_DEAD; i++)
     if (scan.counts[i] != fm_count_members (scan.node->table, (fw_member_state_t)i))
@@ -284,12 +284,12 @@
   node->state = FLEET_UP;
   node->leaving = false;
   node->first_incarnation = self.incarnation;
-  node->next_host_list = 0;
-  node->next_seeds = 0;
+  node->next_host_list_at = 0;
+  node->next_seed_ping_at = 0;
   node->counters = fb_create_counters ();
   node->table = fm_create_table (&self, &options, g_rand_int (fleet->random), clock,
                                  node->counters, &hooks);
-  memset (node->seen, 0, sizeof node->seen);
+  memset (node->observations, 0, sizeof node->observations);
   fx_start_node (fleet->network, index);
 }
 
@@ -328,7 +328,7 @@
 }
 
 static bool
-is_view_right (const fleet_node_t *viewer, const fleet_node_t *subject)
+is_view_correct (const fleet_node_t *viewer, const fleet_node_t *subject)
 {
   fb_name_t id = make_id (subject->index);
   const fw_member_t *member = fm_find_member (viewer->table, &id);
@@ -341,7 +341,7 @@
 }
 
 bool
-fleet_is_converged (fleet_t *fleet, char *why, size_t size)
+fleet_is_converged (fleet_t *fleet, char *reason, size_t size)
 {
   const fleet_node_t *first = NULL;
 
@@ -351,15 +351,15 @@
       if (viewer->state == FLEET_DOWN)
         continue;
       for (size_t j = 0; j < fleet->count; j++)
-        if (!is_view_right (viewer, &fleet->nodes[j]))
+        if (!is_view_correct (viewer, &fleet->nodes[j]))
           {
-            g_snprintf (why, size, "node-%02zu is wrong about node-%02zu", i, j);
+            g_snprintf (reason, size, "node-%02zu is wrong about node-%02zu", i, j);
             return false;
           }
       first = first ? first : viewer;
       if (fm_digest_members (viewer->table) != fm_digest_members (first->table))
         {
-          g_snprintf (why, size, "the digest of node-%02zu differs", i);
+          g_snprintf (reason, size, "the digest of node-%02zu differs", i);
           return false;
         }
     }
@@ -367,7 +367,7 @@
 }
 
 int
-fleet_find_unaware (fleet_t *fleet, size_t node, fw_member_state_t state)
+fleet_find_stale_viewer (fleet_t *fleet, size_t node, fw_member_state_t state)
 {
   fb_name_t id = make_id (node);
 
--- a/packages/member/tests/fixture-fleet.h
+++ b/packages/member/tests/fixture-fleet.h
@@ -22,7 +22,7 @@
   uint64_t incarnation;
   fw_member_state_t state;
   fb_time_t dead_since;
-} seen_t;
+} observation_t;
 
 typedef struct
 {
@@ -34,9 +34,9 @@
   uint64_t first_incarnation;
   fm_table_t *table;
   fb_counters_t *counters;
-  fb_time_t next_host_list;
-  fb_time_t next_seeds;
-  seen_t seen[FX_NODES_MAX];
+  fb_time_t next_host_list_at;
+  fb_time_t next_seed_ping_at;
+  observation_t observations[FX_NODES_MAX];
 } fleet_node_t;
 
 struct fleet
@@ -61,10 +61,10 @@
 void fleet_leave (fleet_t *fleet, size_t node);
 /* Returns whether every table that runs holds exactly the running members as alive or leaving,
  * and all digests are equal; otherwise describes a difference in WHY. */
-bool fleet_is_converged (fleet_t *fleet, char *why, size_t size);
+bool fleet_is_converged (fleet_t *fleet, char *reason, size_t size);
 
 /* Returns the first table that runs and holds NODE in a state below STATE, or -1. */
-int fleet_find_unaware (fleet_t *fleet, size_t node, fw_member_state_t state);
+int fleet_find_stale_viewer (fleet_t *fleet, size_t node, fw_member_state_t state);
 
 /* Reports the seed, the simulated time and MESSAGE, and aborts. */
 void fleet_fail (fleet_t *fleet, const char *format, ...) G_GNUC_PRINTF (2, 3) G_GNUC_NORETURN;
--- a/packages/member/tests/fixture-network.c
+++ b/packages/member/tests/fixture-network.c
@@ -1,7 +1,7 @@
 #include "fixture-network.h"
 
 /* Messages that wait for a paused node; later ones are lost. */
-#define WAITING_MAX 128
+#define WAITING_MESSAGES_MAX 128
 
 typedef enum
 {
@@ -14,20 +14,21 @@
 {
   run_state_t state;
   unsigned group;
-  unsigned life; /* raised by each start and stop */
+  unsigned epoch; /* raised by each start and stop */
   GQueue waiting;
-  fb_time_t stream_free[FX_NODES_MAX]; /* arrival of the last stream message to each node */
+  fb_time_t
+      last_stream_arrival[FX_NODES_MAX]; /* arrival of the last stream message to each node */
 } node_t;
 
 /* A message under way, or a tick when BYTES is NULL. */
 typedef struct
 {
-  fb_time_t at;
+  fb_time_t due_at;
   uint64_t serial;
   size_t from;
   size_t to;
-  unsigned from_life;
-  unsigned to_life;
+  unsigned from_epoch;
+  unsigned to_epoch;
   fx_channel_t channel;
   GBytes *bytes;
 } event_t;
@@ -50,8 +51,8 @@
   const event_t *left = a;
   const event_t *right = b;
 
-  if (left->at != right->at)
-    return left->at < right->at ? -1 : 1;
+  if (left->due_at != right->due_at)
+    return left->due_at < right->due_at ? -1 : 1;
   return left->serial < right->serial ? -1 : left->serial > right->serial;
 }
 
@@ -71,12 +72,12 @@
 {
   event_t *event = g_new0 (event_t, 1);
 
-  event->at = at;
+  event->due_at = at;
   event->serial = ++network->serial;
   event->from = from;
   event->to = to;
-  event->from_life = network->nodes[from].life;
-  event->to_life = network->nodes[to].life;
+  event->from_epoch = network->nodes[from].epoch;
+  event->to_epoch = network->nodes[to].epoch;
   event->channel = channel;
   event->bytes = bytes ? g_bytes_ref (bytes) : NULL;
   g_sequence_insert_sorted (network->events, event, compare_events, NULL);
@@ -109,22 +110,23 @@
 
   if (!event->bytes)
     {
-      if (to->life == event->to_life && to->state != STOPPED)
+      if (to->epoch == event->to_epoch && to->state != STOPPED)
         {
           if (to->state == RUNNING)
             run_tick (network, event->to);
-          add_event (network, event->at + FX_TICK, event->to, event->to, FX_DATAGRAM, NULL);
+          add_event (network, event->due_at + FX_TICK_INTERVAL, event->to, event->to,
+                     FX_DATAGRAM, NULL);
         }
     }
   else if (to->state == STOPPED || from->group != to->group
            || (event->channel == FX_STREAM
-               && (from->life != event->from_life || to->life != event->to_life)))
+               && (from->epoch != event->from_epoch || to->epoch != event->to_epoch)))
     {
       /* Lost. */
     }
   else if (to->state == RUNNING)
     run_receive (network, event);
-  else if (to->waiting.length < WAITING_MAX)
+  else if (to->waiting.length < WAITING_MESSAGES_MAX)
     {
       g_queue_push_tail (&to->waiting, event);
       return;
@@ -177,11 +179,12 @@
   const fx_faults_t *faults = &network->faults;
   fb_time_t now = fb_read_clock (network->clock);
   bool stream = channel == FX_STREAM;
-  int copies = !stream && g_rand_double (network->random) < faults->duplicate ? 2 : 1;
+  int copies
+      = !stream && g_rand_double (network->random) < faults->duplicate_probability ? 2 : 1;
   GBytes *copy;
 
   if (network->nodes[from].group != network->nodes[to].group
-      || (!stream && g_rand_double (network->random) < faults->loss))
+      || (!stream && g_rand_double (network->random) < faults->loss_probability))
     return;
   copy = g_bytes_new (bytes.data, bytes.len);
   for (int i = 0; i < copies; i++)
@@ -189,9 +192,9 @@
       fb_time_t at = now
                      + (fb_time_t)g_rand_double_range (
                          network->random, (double)faults->delay_min, (double)faults->delay_max);
-      fb_time_t *free_at = &network->nodes[from].stream_free[to];
+      fb_time_t *last_arrival = &network->nodes[from].last_stream_arrival[to];
       if (stream)
-        at = *free_at = MAX (at, *free_at);
+        at = *last_arrival = MAX (at, *last_arrival);
       add_event (network, at, from, to, channel, copy);
     }
   g_bytes_unref (copy);
@@ -210,8 +213,8 @@
 
   g_assert_cmpint (network->nodes[node].state, ==, STOPPED);
   network->nodes[node].state = RUNNING;
-  network->nodes[node].life++;
-  add_event (network, now + g_rand_int_range (network->random, 0, FX_TICK), node, node,
+  network->nodes[node].epoch++;
+  add_event (network, now + g_rand_int_range (network->random, 0, FX_TICK_INTERVAL), node, node,
              FX_DATAGRAM, NULL);
 }
 
@@ -219,7 +222,7 @@
 fx_stop_node (fx_network_t *network, size_t node)
 {
   network->nodes[node].state = STOPPED;
-  network->nodes[node].life++;
+  network->nodes[node].epoch++;
   g_queue_clear_full (&network->nodes[node].waiting, destroy_event);
 }
 
@@ -255,14 +258,14 @@
     {
       GSequenceIter *first = g_sequence_get_begin_iter (network->events);
       event_t *event = g_sequence_get (first);
-      event_t *taken;
-      if (event->at > end)
+      event_t *current;
+      if (event->due_at > end)
         break;
-      taken = g_memdup2 (event, sizeof *event);
+      current = g_memdup2 (event, sizeof *event);
       event->bytes = NULL;
       g_sequence_remove (first);
-      fb_advance_clock (network->clock, taken->at - fb_read_clock (network->clock));
-      handle_event (network, taken);
+      fb_advance_clock (network->clock, current->due_at - fb_read_clock (network->clock));
+      handle_event (network, current);
     }
   fb_advance_clock (network->clock, end - fb_read_clock (network->clock));
 }
--- a/packages/member/tests/fixture-network.h
+++ b/packages/member/tests/fixture-network.h
@@ -11,7 +11,7 @@
 #define FX_NODES_MAX 12
 
 /* Time between two ticks of a node. */
-#define FX_TICK (100 * FB_MILLISECOND)
+#define FX_TICK_INTERVAL (100 * FB_MILLISECOND)
 
 typedef enum
 {
@@ -21,8 +21,8 @@
 
 typedef struct
 {
-  double loss;      /* probability */
-  double duplicate; /* probability */
+  double loss_probability;
+  double duplicate_probability;
   fb_time_t delay_min;
   fb_time_t delay_max; /* a wide range reorders datagrams */
 } fx_faults_t;
@@ -31,7 +31,7 @@
 {
   void (*receive) (size_t node, size_t from, fx_channel_t channel, fb_bytes_t bytes,
                    void *user);
-  /* Every FX_TICK while the node runs. */
+  /* Every FX_TICK_INTERVAL while the node runs. */
   void (*tick) (size_t node, void *user);
   /* After each of the calls above. */
   void (*check) (size_t node, void *user);
--- a/packages/member/tests/test-listing.c
+++ b/packages/member/tests/test-listing.c
@@ -7,20 +7,20 @@
 {
   fb_clock_t *clock;
   fm_listing_t *listing;
-  GString *seen; /* "ID=STATE " for each change */
+  GString *changes; /* "ID=STATE " for each change */
 } fixture_t;
 
 static void
-note_change (const fw_endpoint_t *endpoint, void *user)
+record_change (const fw_endpoint_t *endpoint, void *user)
 {
   fixture_t *fixture = user;
 
-  g_string_append_printf (fixture->seen, "%s=%s ", endpoint->member.id.data,
+  g_string_append_printf (fixture->changes, "%s=%s ", endpoint->member.id.data,
                           fw_describe_state (endpoint->member.state));
 }
 
 static void
-list (fixture_t *fixture, const char *id, fw_member_state_t state)
+add_endpoint (fixture_t *fixture, const char *id, fw_member_state_t state)
 {
   fw_endpoint_t endpoint = { .member = { .id = fb_make_name (id),
                                          .state = state,
@@ -32,7 +32,7 @@
 }
 
 static void
-unlist (fixture_t *fixture, const char *id)
+remove_endpoint (fixture_t *fixture, const char *id)
 {
   fb_name_t name = fb_make_name (id);
 
@@ -47,13 +47,13 @@
   switch (step[0])
     {
     case '+':
-      list (fixture, step + 1, FW_ALIVE);
+      add_endpoint (fixture, step + 1, FW_ALIVE);
       break;
     case '~':
-      list (fixture, step + 1, FW_LEAVING);
+      add_endpoint (fixture, step + 1, FW_LEAVING);
       break;
     case '-':
-      unlist (fixture, step + 1);
+      remove_endpoint (fixture, step + 1);
       break;
     case '(':
       fm_begin_full_read (fixture->listing);
@@ -82,7 +82,7 @@
   static const struct
   {
     const char *steps;
-    const char *seen;
+    const char *changes;
     size_t count;
   } cases[] = {
     { "+a +a", "a=alive ", 1 },
@@ -107,15 +107,15 @@
       fixture_t fixture = { .clock = fb_create_manual_clock (100 * FB_SECOND) };
       char **steps = g_strsplit (cases[i].steps, " ", -1);
 
-      fixture.seen = g_string_new ("");
-      fixture.listing = fm_create_listing (fixture.clock, note_change, &fixture);
+      fixture.changes = g_string_new ("");
+      fixture.listing = fm_create_listing (fixture.clock, record_change, &fixture);
       for (size_t j = 0; steps[j]; j++)
         run_step (&fixture, steps[j]);
       g_test_message ("%s", cases[i].steps);
-      g_assert_cmpstr (fixture.seen->str, ==, cases[i].seen);
+      g_assert_cmpstr (fixture.changes->str, ==, cases[i].changes);
       g_assert_cmpuint (fm_count_endpoints (fixture.listing), ==, cases[i].count);
       g_strfreev (steps);
-      g_string_free (fixture.seen, TRUE);
+      g_string_free (fixture.changes, TRUE);
       fm_destroy_listing (fixture.listing);
       fb_destroy_clock (fixture.clock);
     }
--- a/packages/member/tests/test-member-random.c
+++ b/packages/member/tests/test-member-random.c
@@ -11,51 +11,51 @@
  * multiplier 4, and a list that still differs is fetched (5 s to notice, 10 s between fetches);
  * 5 s for spreading.
  */
-#define CONVERGE_MAX ((30 + 2 * 11 + 4 * 4 + 15 + 5) * FB_SECOND)
+#define CONVERGENCE_TIME_MAX ((30 + 2 * 11 + 4 * 4 + 15 + 5) * FB_SECOND)
 
 /* A leaving node receives no new work after 3 s (guarantee G7). */
-#define LEAVE_MAX (3 * FB_SECOND)
+#define LEAVE_SPREAD_TIME_MAX (3 * FB_SECOND)
 
 /* Of a healthy fleet: two rounds of 11 pings at worst, the period of the failed probe, 4 s of
  * suspicion, 1 s for spreading, and for a table that missed the suspicion another 4 s. */
-#define KILL_MAX ((2 * 11 + 1 + 4 + 1 + 4) * FB_SECOND)
+#define DEATH_DETECTION_TIME_MAX ((2 * 11 + 1 + 4 + 1 + 4) * FB_SECOND)
 
 /* Longest times seen over all seeds. */
-static fb_time_t converge_seen;
-static fb_time_t leave_seen;
-static fb_time_t kill_seen;
-static fb_time_t kill_sum;
+static fb_time_t longest_convergence;
+static fb_time_t longest_leave_spread;
+static fb_time_t longest_death_detection;
+static fb_time_t total_death_detection;
 
 /* Runs until all tables are right; returns how long that took. */
 static fb_time_t
 run_until_converged (fleet_t *fleet, const char *phase)
 {
-  char why[128];
+  char reason[128];
   fb_time_t waited = 0;
 
-  while (!fleet_is_converged (fleet, why, sizeof why))
+  while (!fleet_is_converged (fleet, reason, sizeof reason))
     {
-      if (waited > CONVERGE_MAX)
-        fleet_fail (fleet, "%s: %s after %ld s", phase, why, (long)(waited / FB_SECOND));
-      fx_run (fleet->network, FX_TICK);
-      waited += FX_TICK;
+      if (waited > CONVERGENCE_TIME_MAX)
+        fleet_fail (fleet, "%s: %s after %ld s", phase, reason, (long)(waited / FB_SECOND));
+      fx_run (fleet->network, FX_TICK_INTERVAL);
+      waited += FX_TICK_INTERVAL;
     }
   return waited;
 }
 
 static fb_time_t
-run_until_aware (fleet_t *fleet, size_t node, fw_member_state_t state, fb_time_t limit)
+run_until_state_known (fleet_t *fleet, size_t node, fw_member_state_t state, fb_time_t limit)
 {
   fb_time_t waited = 0;
 
-  while (fleet_find_unaware (fleet, node, state) >= 0)
+  while (fleet_find_stale_viewer (fleet, node, state) >= 0)
     {
       if (waited >= limit)
         fleet_fail (fleet, "node-%02d does not hold node-%02zu %s after %ld ms",
-                    fleet_find_unaware (fleet, node, state), node, fw_describe_state (state),
-                    (long)(waited / FB_MILLISECOND));
-      fx_run (fleet->network, FX_TICK);
-      waited += FX_TICK;
+                    fleet_find_stale_viewer (fleet, node, state), node,
+                    fw_describe_state (state), (long)(waited / FB_MILLISECOND));
+      fx_run (fleet->network, FX_TICK_INTERVAL);
+      waited += FX_TICK_INTERVAL;
     }
   return waited;
 }
@@ -65,8 +65,8 @@
 {
   fx_faults_t faults = { .delay_min = FB_MILLISECOND };
 
-  faults.loss = g_rand_double_range (random, 0, 0.4);
-  faults.duplicate = g_rand_double_range (random, 0, 0.2);
+  faults.loss_probability = g_rand_double_range (random, 0, 0.4);
+  faults.duplicate_probability = g_rand_double_range (random, 0, 0.2);
   faults.delay_max
       = g_rand_int_range (random, 2, g_rand_boolean (random) ? 50 : 1500) * FB_MILLISECOND;
   fx_set_faults (fleet->network, &faults);
@@ -80,7 +80,7 @@
 }
 
 static void
-disturb_node (fleet_t *fleet, GRand *random, size_t node)
+inject_node_fault (fleet_t *fleet, GRand *random, size_t node)
 {
   bool moved = g_rand_int_range (random, 0, 4) == 0;
 
@@ -132,7 +132,7 @@
       else if (action <= 4)
         set_random_faults (fleet, random);
       else
-        disturb_node (fleet, random, (size_t)g_rand_int_range (random, 0, (gint32)count));
+        inject_node_fault (fleet, random, (size_t)g_rand_int_range (random, 0, (gint32)count));
       /* Short and long waits, some beyond the retention of the dead. */
       fx_run (fleet->network,
               g_rand_int_range (random, 10, i % 8 == 7 ? 70000 : 5000) * FB_MILLISECOND);
@@ -175,13 +175,13 @@
   fleet->forbid_false_deaths = true;
   fx_run (fleet->network, 20 * FB_SECOND);
   fleet_leave (fleet, leaver);
-  waited = run_until_aware (fleet, leaver, FW_LEAVING, LEAVE_MAX);
-  leave_seen = MAX (leave_seen, waited);
+  waited = run_until_state_known (fleet, leaver, FW_LEAVING, LEAVE_SPREAD_TIME_MAX);
+  longest_leave_spread = MAX (longest_leave_spread, waited);
   fx_run (fleet->network, g_rand_int_range (random, 0, 2000) * FB_MILLISECOND);
   fleet_kill (fleet, victim);
-  waited = run_until_aware (fleet, victim, FW_DEAD, KILL_MAX);
-  kill_seen = MAX (kill_seen, waited);
-  kill_sum += waited;
+  waited = run_until_state_known (fleet, victim, FW_DEAD, DEATH_DETECTION_TIME_MAX);
+  longest_death_detection = MAX (longest_death_detection, waited);
+  total_death_detection += waited;
   run_until_converged (fleet, "kill");
   fx_run (fleet->network, 20 * FB_SECOND);
   g_assert_cmpint (run_until_converged (fleet, "rest"), ==, 0);
@@ -201,7 +201,7 @@
   run_faults (fleet, random, count);
   stop_faults (fleet, random, count);
   waited = run_until_converged (fleet, "faults");
-  converge_seen = MAX (converge_seen, waited);
+  longest_convergence = MAX (longest_convergence, waited);
   run_healthy (fleet, random, count);
   fleet_destroy (fleet);
   g_rand_free (random);
@@ -224,9 +224,10 @@
     }
   g_test_message ("%u seeds; longest convergence %ld ms, leaving %ld ms, kill %ld ms (mean %ld "
                   "ms)",
-                  seeds, (long)(converge_seen / FB_MILLISECOND),
-                  (long)(leave_seen / FB_MILLISECOND), (long)(kill_seen / FB_MILLISECOND),
-                  (long)(kill_sum / FB_MILLISECOND / MAX (seeds, 1)));
+                  seeds, (long)(longest_convergence / FB_MILLISECOND),
+                  (long)(longest_leave_spread / FB_MILLISECOND),
+                  (long)(longest_death_detection / FB_MILLISECOND),
+                  (long)(total_death_detection / FB_MILLISECOND / MAX (seeds, 1)));
 }
 
 int
--- a/packages/member/tests/test-member-update.c
+++ b/packages/member/tests/test-member-update.c
@@ -1,5 +1,5 @@
 /* Rules by which datagrams and lists change one membership table. */
-#include "fixture-bed.h"
+#include "fixture-table.h"
 
 /* Guards against updates about this node that change it in any way but a higher incarnation,
  * and against a leaving node that becomes alive again by refuting. */
@@ -23,16 +23,16 @@
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      bed_t bed;
-      bed_open (&bed, 3);
+      fixture_t fixture;
+      fixture_open (&fixture, 3);
       if (cases[i].leaving)
-        fm_announce_leaving (bed.table);
-      bed_deliver_update (&bed, FW_GOSSIP,
-                          bed_make_member (99, cases[i].incarnation, cases[i].state));
-      g_assert_cmpuint (fm_get_self (bed.table)->incarnation, ==, cases[i].expected);
-      g_assert_cmpint (fm_get_self (bed.table)->state, ==,
+        fm_announce_leaving (fixture.table);
+      fixture_deliver_update (&fixture, FW_GOSSIP,
+                              fixture_make_member (99, cases[i].incarnation, cases[i].state));
+      g_assert_cmpuint (fm_get_self (fixture.table)->incarnation, ==, cases[i].expected);
+      g_assert_cmpint (fm_get_self (fixture.table)->state, ==,
                        cases[i].leaving ? FW_LEAVING : FW_ALIVE);
-      bed_close (&bed);
+      fixture_close (&fixture);
     }
 }
 
@@ -66,18 +66,19 @@
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      fw_member_t update = bed_make_member (2, cases[i].incarnation, cases[i].state);
-      bed_t bed;
-      bed_open (&bed, 2);
+      fw_member_t update = fixture_make_member (2, cases[i].incarnation, cases[i].state);
+      fixture_t fixture;
+      fixture_open (&fixture, 2);
       if (cases[i].held == FW_DEAD)
-        bed_deliver_update (&bed, FW_GOSSIP, bed_make_member (2, 5, FW_SUSPECT));
-      bed_deliver_update (&bed, FW_GOSSIP, bed_make_member (2, 5, cases[i].held));
+        fixture_deliver_update (&fixture, FW_GOSSIP, fixture_make_member (2, 5, FW_SUSPECT));
+      fixture_deliver_update (&fixture, FW_GOSSIP, fixture_make_member (2, 5, cases[i].held));
       if (cases[i].list)
-        fm_merge_members (bed.table, &update, 1);
+        fm_merge_members (fixture.table, &update, 1);
       else
-        bed_deliver_update (&bed, FW_GOSSIP, update);
-      g_assert_cmpint (fm_find_member (bed.table, &update.id)->state, ==, cases[i].expected);
-      bed_close (&bed);
+        fixture_deliver_update (&fixture, FW_GOSSIP, update);
+      g_assert_cmpint (fm_find_member (fixture.table, &update.id)->state, ==,
+                       cases[i].expected);
+      fixture_close (&fixture);
     }
 }
 
@@ -95,48 +96,50 @@
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       fw_datagram_t ping = { .kind = FW_PING, .sequence = 7 };
-      fw_member_t held = bed_make_member (2, 5, cases[i].state);
-      bed_t bed;
-      bed_open (&bed, 2);
-      bed_deliver_update (&bed, FW_GOSSIP, held);
-      bed_run (&bed, 10 * 100 * FB_MILLISECOND);
-      ping.sender = bed_make_member (2, cases[i].incarnation, FW_ALIVE);
-      g_assert_cmpint (bed_deliver (&bed, &ping), ==, FB_OK);
-      g_assert_cmpint (fm_find_member (bed.table, &held.id)->state, ==, held.state);
-      g_assert_cmpint (bed_get_last (&bed)->kind, ==, FW_ACK);
-      g_assert_cmpuint (bed_get_last (&bed)->sequence, ==, 7);
-      g_assert_true (fb_equal_name (&bed_get_last (&bed)->updates[0].id, &held.id));
-      g_assert_cmpint (bed_get_last (&bed)->updates[0].state, ==, held.state);
-      bed_close (&bed);
+      fw_member_t held = fixture_make_member (2, 5, cases[i].state);
+      fixture_t fixture;
+      fixture_open (&fixture, 2);
+      fixture_deliver_update (&fixture, FW_GOSSIP, held);
+      fixture_run (&fixture, 10 * 100 * FB_MILLISECOND);
+      ping.sender = fixture_make_member (2, cases[i].incarnation, FW_ALIVE);
+      g_assert_cmpint (fixture_deliver (&fixture, &ping), ==, FB_OK);
+      g_assert_cmpint (fm_find_member (fixture.table, &held.id)->state, ==, held.state);
+      g_assert_cmpint (fixture_get_last_sent (&fixture)->kind, ==, FW_ACK);
+      g_assert_cmpuint (fixture_get_last_sent (&fixture)->sequence, ==, 7);
+      g_assert_true (
+          fb_equal_name (&fixture_get_last_sent (&fixture)->updates[0].id, &held.id));
+      g_assert_cmpint (fixture_get_last_sent (&fixture)->updates[0].state, ==, held.state);
+      fixture_close (&fixture);
     }
 }
 
 /* Guards against one datagram that draws many replies, and against two processes under one id
  * that raise their incarnations against each other without end. */
 static void
-test_cost (void)
+test_reply_limits (void)
 {
   fw_datagram_t gossip = { .kind = FW_GOSSIP, .update_count = 12 };
   uint64_t incarnation;
-  bed_t bed;
+  fixture_t fixture;
 
-  bed_open (&bed, 20);
-  bed_run (&bed, FB_SECOND);
-  gossip.sender = bed_make_member (1, 5, FW_ALIVE);
+  fixture_open (&fixture, 20);
+  fixture_run (&fixture, FB_SECOND);
+  gossip.sender = fixture_make_member (1, 5, FW_ALIVE);
   for (unsigned i = 0; i < gossip.update_count; i++)
-    gossip.updates[i] = bed_make_member (i + 2, 4, FW_DEAD);
-  g_array_set_size (bed.sent, 0);
+    gossip.updates[i] = fixture_make_member (i + 2, 4, FW_DEAD);
+  g_array_set_size (fixture.sent, 0);
   for (unsigned i = 0; i < 10; i++)
-    bed_deliver (&bed, &gossip);
-  g_assert_cmpuint (bed.sent->len, ==, 1);
-  g_assert_cmpuint (bed_get_last (&bed)->update_count, >=, 1);
+    fixture_deliver (&fixture, &gossip);
+  g_assert_cmpuint (fixture.sent->len, ==, 1);
+  g_assert_cmpuint (fixture_get_last_sent (&fixture)->update_count, >=, 1);
   for (unsigned i = 0; i < 100; i++)
     {
-      incarnation = fm_get_self (bed.table)->incarnation;
-      bed_deliver_update (&bed, FW_GOSSIP, bed_make_member (99, incarnation + 1, FW_ALIVE));
+      incarnation = fm_get_self (fixture.table)->incarnation;
+      fixture_deliver_update (&fixture, FW_GOSSIP,
+                              fixture_make_member (99, incarnation + 1, FW_ALIVE));
     }
-  g_assert_cmpuint (fm_get_self (bed.table)->incarnation, ==, 7);
-  bed_close (&bed);
+  g_assert_cmpuint (fm_get_self (fixture.table)->incarnation, ==, 7);
+  fixture_close (&fixture);
 }
 
 /* Guards against a difference between member lists that nobody notices, and against list
@@ -145,56 +148,56 @@
 test_divergence (void)
 {
   fw_datagram_t gossip = { .kind = FW_GOSSIP };
-  bed_t bed;
+  fixture_t fixture;
 
-  bed_open (&bed, 3);
-  bed_run (&bed, 100 * FB_MILLISECOND);
-  gossip.sender = bed_make_member (1, 5, FW_ALIVE);
+  fixture_open (&fixture, 3);
+  fixture_run (&fixture, 100 * FB_MILLISECOND);
+  gossip.sender = fixture_make_member (1, 5, FW_ALIVE);
   for (unsigned second = 0; second < 30; second++)
     {
-      gossip.members_digest = second < 4 ? 1 : fm_digest_members (bed.table);
-      bed_deliver (&bed, &gossip);
-      fb_advance_clock (bed.clock, FB_SECOND);
+      gossip.members_digest = second < 4 ? 1 : fm_digest_members (fixture.table);
+      fixture_deliver (&fixture, &gossip);
+      fb_advance_clock (fixture.clock, FB_SECOND);
     }
-  g_assert_cmpuint (bed.diverged, ==, 0);
+  g_assert_cmpuint (fixture.divergences, ==, 0);
   gossip.members_digest = 1;
   for (unsigned second = 0; second < 26; second++)
     {
-      bed_deliver (&bed, &gossip);
-      fb_advance_clock (bed.clock, FB_SECOND);
+      fixture_deliver (&fixture, &gossip);
+      fb_advance_clock (fixture.clock, FB_SECOND);
     }
-  g_assert_cmpuint (bed.diverged, ==, 3);
-  bed_close (&bed);
+  g_assert_cmpuint (fixture.divergences, ==, 3);
+  fixture_close (&fixture);
 }
 
 /* Guards against senders that describe themselves in a way no node does, deaths of unknown
  * members that tables remind each other of for ever, and host list entries that become members
  * before they answered. */
 static void
-test_bad_sender (void)
+test_invalid_sender (void)
 {
   fw_datagram_t ping = { .kind = FW_PING };
-  fw_member_t host = bed_make_member (9, 0, FW_ALIVE);
-  bed_t bed;
+  fw_member_t host = fixture_make_member (9, 0, FW_ALIVE);
+  fixture_t fixture;
 
-  bed_open (&bed, 2);
-  ping.sender = bed_make_member (3, 5, FW_DEAD);
-  g_assert_cmpint (bed_deliver (&bed, &ping), ==, FB_INVALID);
-  ping.sender = bed_make_member (3, 5, FW_ALIVE);
+  fixture_open (&fixture, 2);
+  ping.sender = fixture_make_member (3, 5, FW_DEAD);
+  g_assert_cmpint (fixture_deliver (&fixture, &ping), ==, FB_INVALID);
+  ping.sender = fixture_make_member (3, 5, FW_ALIVE);
   ping.sender.control_port = 0;
-  g_assert_cmpint (bed_deliver (&bed, &ping), ==, FB_INVALID);
-  g_assert_cmpint (fm_handle_datagram (bed.table, (fb_bytes_t){ (const uint8_t *)"x", 1 }), ==,
-                   FB_INVALID);
+  g_assert_cmpint (fixture_deliver (&fixture, &ping), ==, FB_INVALID);
+  g_assert_cmpint (fm_handle_datagram (fixture.table, (fb_bytes_t){ (const uint8_t *)"x", 1 }),
+                   ==, FB_INVALID);
   g_assert_cmpuint (
-      fb_get_counter (fb_find_counter (bed.counters, "member_malformed_total", "")), ==, 3);
-  g_assert_cmpuint (bed.sent->len, ==, 0);
-  bed_deliver_update (&bed, FW_GOSSIP, bed_make_member (9, 5, FW_DEAD));
-  g_assert_null (fm_find_member (bed.table, &host.id));
-  fm_merge_members (bed.table, &host, 1);
-  g_assert_null (fm_find_member (bed.table, &host.id));
-  g_assert_cmpint (bed_get_last (&bed)->kind, ==, FW_PING);
-  g_assert_cmpuint (g_array_index (bed.ports, uint16_t, bed.ports->len - 1), ==, 9);
-  bed_close (&bed);
+      fb_get_counter (fb_find_counter (fixture.counters, "member_malformed_total", "")), ==, 3);
+  g_assert_cmpuint (fixture.sent->len, ==, 0);
+  fixture_deliver_update (&fixture, FW_GOSSIP, fixture_make_member (9, 5, FW_DEAD));
+  g_assert_null (fm_find_member (fixture.table, &host.id));
+  fm_merge_members (fixture.table, &host, 1);
+  g_assert_null (fm_find_member (fixture.table, &host.id));
+  g_assert_cmpint (fixture_get_last_sent (&fixture)->kind, ==, FW_PING);
+  g_assert_cmpuint (g_array_index (fixture.ports, uint16_t, fixture.ports->len - 1), ==, 9);
+  fixture_close (&fixture);
 }
 
 /* Guards against a host that the host list has leave and that goes on to get work, and against
@@ -202,27 +205,27 @@
 static void
 test_host_list_leaving (void)
 {
-  bed_t bed;
-  fw_member_t peer = bed_make_member (2, 5, FW_LEAVING);
-  fw_member_t self = bed_make_member (99, 5, FW_LEAVING);
-  fw_member_t older = bed_make_member (99, 4, FW_LEAVING);
+  fixture_t fixture;
+  fw_member_t peer = fixture_make_member (2, 5, FW_LEAVING);
+  fw_member_t self = fixture_make_member (99, 5, FW_LEAVING);
+  fw_member_t older = fixture_make_member (99, 4, FW_LEAVING);
 
-  bed_open (&bed, 4);
-  fm_mark_leaving (bed.table, &peer.id);
-  g_assert_cmpint (fm_find_member (bed.table, &peer.id)->state, ==, FW_LEAVING);
-  bed_run (&bed, 200 * FB_MILLISECOND);
-  g_assert_true (bed_is_told (bed_get_last (&bed), &peer));
-  bed_deliver_update (&bed, FW_GOSSIP, older);
-  g_assert_cmpuint (bed.told_to_leave, ==, 0);
-  bed_deliver_update (&bed, FW_GOSSIP, self);
-  g_assert_cmpuint (bed.told_to_leave, ==, 1);
-  g_assert_cmpuint (fm_get_self (bed.table)->incarnation, ==, 5);
-  fm_mark_leaving (bed.table, &self.id);
-  g_assert_cmpuint (bed.told_to_leave, ==, 2);
-  fm_announce_leaving (bed.table);
-  bed_deliver_update (&bed, FW_GOSSIP, self);
-  g_assert_cmpuint (bed.told_to_leave, ==, 2);
-  bed_close (&bed);
+  fixture_open (&fixture, 4);
+  fm_mark_leaving (fixture.table, &peer.id);
+  g_assert_cmpint (fm_find_member (fixture.table, &peer.id)->state, ==, FW_LEAVING);
+  fixture_run (&fixture, 200 * FB_MILLISECOND);
+  g_assert_true (fixture_carries_member (fixture_get_last_sent (&fixture), &peer));
+  fixture_deliver_update (&fixture, FW_GOSSIP, older);
+  g_assert_cmpuint (fixture.leave_requests, ==, 0);
+  fixture_deliver_update (&fixture, FW_GOSSIP, self);
+  g_assert_cmpuint (fixture.leave_requests, ==, 1);
+  g_assert_cmpuint (fm_get_self (fixture.table)->incarnation, ==, 5);
+  fm_mark_leaving (fixture.table, &self.id);
+  g_assert_cmpuint (fixture.leave_requests, ==, 2);
+  fm_announce_leaving (fixture.table);
+  fixture_deliver_update (&fixture, FW_GOSSIP, self);
+  g_assert_cmpuint (fixture.leave_requests, ==, 2);
+  fixture_close (&fixture);
 }
 
 int
@@ -232,9 +235,9 @@
   g_test_add_func ("/member/refute", test_refute);
   g_test_add_func ("/member/override", test_override);
   g_test_add_func ("/member/accused-sender", test_accused_sender);
-  g_test_add_func ("/member/cost", test_cost);
+  g_test_add_func ("/member/cost", test_reply_limits);
   g_test_add_func ("/member/divergence", test_divergence);
-  g_test_add_func ("/member/bad-sender", test_bad_sender);
+  g_test_add_func ("/member/bad-sender", test_invalid_sender);
   g_test_add_func ("/member/host-list-leaving", test_host_list_leaving);
   return g_test_run ();
 }
