--- a/packages/member/source/member-datagram.c
+++ b/packages/member/source/member-datagram.c
@@ -1,17 +1,20 @@
 /* Handling of received datagrams. */
 #include "member-table.h"
 
-/* A member list that differs for longer than updates take to spread is fetched from a peer. */
+/* Time for which member lists may differ before one is fetched from a peer; updates spread in
+ * less. */
 #define DIVERGENCE_DELAY (5 * FB_SECOND)
 
-/* Least time between two such fetches, and the longest time without one while no peer agrees.
- */
+/* Shortest time between two fetches. */
 #define DIVERGENCE_FETCH_INTERVAL (10 * FB_SECOND)
+
+/* Time without a matching digest after which a list is fetched even if the local one changes;
+ * also the age at which a recorded peer digest is replaced. */
 #define DIVERGENCE_DELAY_MAX (60 * FB_SECOND)
 
-/* Returns whether the member list differs from its peers' for too long, given a datagram with
- * another DIGEST. Only a difference that stands while the own list stands still counts: an
- * update under way makes digests differ for a second or two. */
+/* Returns whether the member list has differed from those of peers for too long; DIGEST is a
+ * received digest that differs. Before DIVERGENCE_DELAY_MAX a difference counts only while the
+ * local list is unchanged: a spreading update makes digests differ for a second or two. */
 static bool
 is_diverged (fm_table_t *table, uint64_t digest, fb_time_t now)
 {
@@ -32,7 +35,7 @@
                  && now - table->peer_digest_since >= DIVERGENCE_DELAY));
 }
 
-/* Compares digests; returns whether they differ. */
+/* Returns whether the member lists differ, and calls the diverged hook when it is due. */
 static bool
 compare_digests (fm_table_t *table, const fw_datagram_t *datagram)
 {
@@ -54,8 +57,8 @@
   return true;
 }
 
-/* Sends corrections to the sender of a datagram that has no reply of its own; one in each
- * gossip period, so that a sender with much to correct costs no more than that. */
+/* Sends corrections to the sender of a datagram that needs no reply. The limit of one in each
+ * gossip period bounds the cost of senders with many outdated updates. */
 static void
 send_correction (fm_table_t *table, const fw_datagram_t *datagram,
                  const fm_priority_updates_t *priority)
@@ -117,7 +120,7 @@
 
   fb_add_counter (table->counters.received, 1);
   fb_add_counter (table->counters.received_bytes, bytes.len);
-  /* A node describes itself as alive or leaving, never otherwise. */
+  /* A node describes itself only as alive or leaving. */
   if (fw_decode_datagram (bytes, &datagram) != FB_OK
       || (datagram.sender.state != FW_ALIVE && datagram.sender.state != FW_LEAVING)
       || datagram.sender.address.len == 0 || datagram.sender.control_port == 0)
--- a/packages/member/source/member-index.c
+++ b/packages/member/source/member-index.c
@@ -1,5 +1,5 @@
-/* Indexes over the entries: by id, in order, by service, to probe, with a deadline; and the
- * digest and counts kept up to date with them. */
+/* Indexes of the entries by id, probe order, service and deadline, with the digest and the
+ * counts that are updated with them. */
 #include "member-table.h"
 #include <foxtailrun/base/digest.h>
 #include <foxtailrun/base/invariant.h>
@@ -58,7 +58,7 @@
   set_order_index (table, b, first);
 }
 
-/* Adds ENTRY at a random place among the members not yet probed in this round. */
+/* Adds ENTRY at a random position among the members not yet probed in this round. */
 static void
 add_to_order (fm_table_t *table, fm_entry_t *entry)
 {
--- a/packages/member/source/member-listing.c
+++ b/packages/member/source/member-listing.c
@@ -1,19 +1,19 @@
-/* Endpoints that a platform lists. */
+/* Endpoints listed by a platform. */
 #include <foxtailrun/base/digest.h>
 #include <foxtailrun/member/listing.h>
 #include <glib.h>
 #include <string.h>
 
-/* Removed endpoints remembered for those who follow the changes: about a quarter of a fleet of
- * 1,000 that is replaced. */
+/* Largest number of removal records for fm_visit_changes: about a quarter of a fleet of 1,000
+ * being replaced. */
 #define REMOVED_ENDPOINTS_MAX 256
 
 typedef struct
 {
   fw_endpoint_t endpoint;
   uint64_t sequence; /* of its last change */
-  bool seen;         /* in the list that is being read */
-  bool missing;      /* removed while the source was away */
+  bool seen;         /* in the current full read */
+  bool missing;      /* removed from the list, not yet reported */
 } listed_t;
 
 typedef struct
@@ -30,9 +30,9 @@
   GHashTable *entries;         /* listed_t by id */
   uint64_t sequence;           /* of the last change */
   GQueue removed;              /* removed_t, oldest first */
-  uint64_t discarded_sequence; /* sequence of the last removal that is no longer remembered */
+  uint64_t discarded_sequence; /* of the last discarded removal record */
   bool source_unavailable;
-  fb_time_t grace_ends_at; /* from here on a missing entry is gone */
+  fb_time_t grace_ends_at; /* missing entries are removed from then on */
 };
 
 fm_listing_t *
@@ -94,7 +94,7 @@
   listing->changed (&entry->endpoint, listing->user);
 }
 
-/* Tells that ENTRY is gone; the caller removes it. */
+/* Records and reports the removal of ENTRY; the caller removes it from the table. */
 static void
 report_removal (fm_listing_t *listing, const listed_t *entry)
 {
@@ -220,7 +220,8 @@
 
   if (sequence > 0 && sequence < listing->discarded_sequence)
     return false;
-  /* An id that was removed and listed again stands in both; the later one counts. */
+  /* Removals come first: an id that was listed again after a removal is visited in both loops,
+   * and the last visit applies. */
   for (const GList *link = listing->removed.head; link && sequence > 0; link = link->next)
     {
       const removed_t *removed = link->data;
--- a/packages/member/source/member-probe.c
+++ b/packages/member/source/member-probe.c
@@ -1,8 +1,7 @@
-/* Failure detection: one member probed in each period, directly and then through others. */
+/* Failure detection: probes one member in each period, first directly, then through others. */
 #include "member-table.h"
 
-/* Time between pings to recently dead members, so that the sides of a healed partition find
- * each other. */
+/* Time between pings to dead members; they reconnect the sides of a healed partition. */
 #define DEAD_PROBE_PERIOD (3 * FB_SECOND)
 
 static void
@@ -20,7 +19,7 @@
 {
   fm_priority_updates_t priority = { 0 };
 
-  /* An accused member must hear of it in time to refute. */
+  /* A suspect or dead member can refute only if it receives the update. */
   if (to->member.state == FW_SUSPECT || to->member.state == FW_DEAD)
     fm_add_priority_update (&priority, to);
   fm_send_datagram (table, FW_PING, sequence, &to->member.address, to->member.control_port,
@@ -90,8 +89,7 @@
 {
   fm_entry_t *target = fm_find_entry (table, &table->probe.id);
 
-  /* A member that came back under a higher incarnation did not fail the ping to its
-   * predecessor. */
+  /* The ping was sent to an earlier incarnation of a member that has restarted since. */
   if (!target || target->member.state == FW_DEAD
       || target->member.incarnation != table->probe.incarnation)
     {
@@ -104,7 +102,8 @@
     return;
   table->probe.active = false;
   fb_add_counter (table->counters.probes_failed, 1);
-  /* The multiplier follows earlier probes: one dead target is no sign of bad local health. */
+  /* The suspicion timeout is set before the health changes: one dead target does not indicate
+   * poor local health. */
   fm_suspect_entry (table, target);
   adjust_health (table, 1);
 }
@@ -161,7 +160,7 @@
       && fb_equal_name (subject, &probe->id))
     {
       probe->active = false;
-      /* Late acks point at this node rather than at all the members it probes. */
+      /* A late ack indicates a slow local node rather than a failing member. */
       if (direct)
         adjust_health (table, probe->indirect_sent ? 1 : -1);
     }
--- a/packages/member/source/member-queue.c
+++ b/packages/member/source/member-queue.c
@@ -1,14 +1,14 @@
-/* Updates that wait for transmission, and the datagrams that carry them. */
+/* Queue of updates to transmit, and the datagrams that carry them. */
 #include "member-table.h"
 #include <foxtailrun/base/invariant.h>
 #include <string.h>
 
-/* Changes older than this are no longer added for a receiver whose member list differs; a list
- * exchange takes over. */
+/* Older changes are not sent to a receiver whose member list differs; it gets them by a list
+ * exchange. */
 #define RECENT_CHANGE_AGE_MAX (30 * FB_SECOND)
 
-/* Returns how often each update is sent: FM_BASE_TRANSMISSIONS + log2 of the members not dead.
- */
+/* Returns the number of transmissions of each update: FM_BASE_TRANSMISSIONS plus log2 of the
+ * number of members that are not dead. */
 static uint32_t
 get_transmission_limit (const fm_table_t *table)
 {
@@ -19,7 +19,7 @@
   return limit;
 }
 
-/* The entries chosen for one datagram, in the order of its updates. */
+/* A datagram that is being built, and the entries of its updates in the same order. */
 typedef struct
 {
   fw_datagram_t datagram;
@@ -33,7 +33,7 @@
       || draft->datagram.update_count == FW_UPDATES_MAX)
     return;
   entry->last_datagram = table->datagrams_built;
-  /* The sender field describes this node already. */
+  /* The sender field already describes this node. */
   if (entry == table->self)
     return;
   draft->entries[draft->datagram.update_count] = entry;
@@ -64,7 +64,7 @@
     }
 }
 
-/* Counts one transmission of ENTRY, which leaves the queue at the limit. */
+/* Counts one transmission of ENTRY and removes it from the queue at the limit. */
 static void
 count_transmission (fm_table_t *table, fm_entry_t *entry)
 {
@@ -146,7 +146,7 @@
 {
   guint members = table->probe_order->len;
 
-  /* Walking the shuffled order gives each copy of an update to a different member. */
+  /* Following the shuffled probe order sends each copy of an update to a different member. */
   for (uint32_t i = 0; i < table->options.gossip_fanout && i < members; i++)
     {
       if (table->queued_count == 0)
--- a/packages/member/source/member-table.c
+++ b/packages/member/source/member-table.c
@@ -1,41 +1,41 @@
-/* The table: creation, ticks, announcements and reads. */
+/* Creation, ticks, announcements and queries of the membership table. */
 #include "member-table.h"
 #include <foxtailrun/base/invariant.h>
 
-/* A tick this late means that the process was paused. */
+/* A longer interval between two ticks means that the process was paused. */
 #define PAUSE_THRESHOLD (2 * FB_SECOND)
 
-/* Members that a new version is announced to at once. */
+/* Number of members to which a new version is announced at once. */
 #define ANNOUNCE_SAME_ZONE_COUNT 2
 #define ANNOUNCE_COUNT 4
 
 static void
-open_counters (fm_table_t *table, fb_counters_t *counters)
+find_counters (fm_table_t *table, fb_counters_t *registry)
 {
   static const char *const states[]
       = { "state=\"alive\"", "state=\"suspect\"", "state=\"leaving\"", "state=\"dead\"" };
-  fm_counters_t *own = &table->counters;
-
-  own->received = fb_find_counter (counters, "member_datagrams_received_total", "");
-  own->received_bytes = fb_find_counter (counters, "member_received_bytes_total", "");
-  own->sent = fb_find_counter (counters, "member_datagrams_sent_total", "");
-  own->sent_bytes = fb_find_counter (counters, "member_sent_bytes_total", "");
-  own->malformed = fb_find_counter (counters, "member_malformed_total", "");
-  own->refused = fb_find_counter (counters, "member_refused_updates_total", "");
-  own->probes_failed = fb_find_counter (counters, "member_failed_probes_total", "");
-  own->suspicions = fb_find_counter (counters, "member_suspicions_total", "");
-  own->deaths = fb_find_counter (counters, "member_deaths_total", "");
-  own->refutations = fb_find_counter (counters, "member_refutations_total", "");
-  own->conflicts = fb_find_counter (counters, "member_id_conflicts_total", "");
-  own->pauses = fb_find_counter (counters, "member_pauses_total", "");
-  own->divergences = fb_find_counter (counters, "member_divergences_total", "");
-  own->health = fb_find_counter (counters, "member_health", "");
+  fm_counters_t *counters = &table->counters;
+
+  counters->received = fb_find_counter (registry, "member_datagrams_received_total", "");
+  counters->received_bytes = fb_find_counter (registry, "member_received_bytes_total", "");
+  counters->sent = fb_find_counter (registry, "member_datagrams_sent_total", "");
+  counters->sent_bytes = fb_find_counter (registry, "member_sent_bytes_total", "");
+  counters->malformed = fb_find_counter (registry, "member_malformed_total", "");
+  counters->refused = fb_find_counter (registry, "member_refused_updates_total", "");
+  counters->probes_failed = fb_find_counter (registry, "member_failed_probes_total", "");
+  counters->suspicions = fb_find_counter (registry, "member_suspicions_total", "");
+  counters->deaths = fb_find_counter (registry, "member_deaths_total", "");
+  counters->refutations = fb_find_counter (registry, "member_refutations_total", "");
+  counters->conflicts = fb_find_counter (registry, "member_id_conflicts_total", "");
+  counters->pauses = fb_find_counter (registry, "member_pauses_total", "");
+  counters->divergences = fb_find_counter (registry, "member_divergences_total", "");
+  counters->health = fb_find_counter (registry, "member_health", "");
   for (size_t i = 0; i <= FW_DEAD; i++)
-    own->states[i] = fb_find_counter (counters, "members", states[i]);
+    counters->states[i] = fb_find_counter (registry, "members", states[i]);
 }
 
-/* After a pause of GAP the timers ran without a chance to hear anyone: probes and suspicions
- * start anew, and the dead are remembered for as much longer. */
+/* Restarts probes and suspicions after a pause of GAP, in which no datagram was handled, and
+ * extends the retention of dead members by GAP. */
 static void
 resume_after_pause (fm_table_t *table, fb_time_t now, fb_time_t gap)
 {
@@ -49,8 +49,7 @@
     }
 }
 
-/* Sends the version to up to LIMIT members chosen by zone and region, from a random place on.
- */
+/* Location of a member relative to this node. */
 typedef enum
 {
   SAME_ZONE,
@@ -79,17 +78,18 @@
   return false;
 }
 
-/* Sends the version to up to LIMIT members in PLACEMENT, from a random place on, that are not
- * among the COUNT CHOSEN; returns how many are chosen then. */
+/* Sends the version to up to LIMIT members in PLACEMENT that are not among the COUNT members of
+ * CHOSEN, and appends them to CHOSEN; returns the new count. The search starts at a random
+ * member. */
 static size_t
 announce_to (fm_table_t *table, placement_t placement, size_t limit, const fm_entry_t **chosen,
              size_t count)
 {
   guint members = table->probe_order->len;
   guint start = (guint)g_rand_int_range (table->random, 0, (gint32)members);
-  size_t first = count;
+  size_t initial_count = count;
 
-  for (guint i = 0; i < members && count - first < limit; i++)
+  for (guint i = 0; i < members && count - initial_count < limit; i++)
     {
       const fm_entry_t *entry = g_ptr_array_index (table->probe_order, (start + i) % members);
       bool skip = !matches_placement (&table->self->member, &entry->member, placement);
@@ -135,11 +135,11 @@
   table->sequence = g_rand_int (table->random);
   table->digest_matched_at = now;
   table->last_tick = now;
-  /* Nodes that start together probe at different times. */
+  /* A random offset keeps nodes that start together from probing at the same time. */
   table->next_probe_at
       = now + (fb_time_t)(g_rand_double (table->random) * table->options.probe_period);
   table->next_dead_probe_at = table->next_probe_at;
-  open_counters (table, counters);
+  find_counters (table, counters);
   fm_create_indexes (table);
   fm_queue_entry (table, fm_insert_entry (table, self));
   return table;
@@ -165,7 +165,7 @@
   if (gap > PAUSE_THRESHOLD)
     resume_after_pause (table, now, gap);
   fm_run_probes (table, now);
-  /* A timer that fires a little early must not cost a whole round. */
+  /* Without the tolerance, a timer that fires early would skip a round. */
   if (now < table->next_gossip_at - table->options.gossip_period / 4)
     return;
   table->next_gossip_at = MAX (table->next_gossip_at, now) + table->options.gossip_period;
--- a/packages/member/source/member-table.h
+++ b/packages/member/source/member-table.h
@@ -5,25 +5,25 @@
 #include <foxtailrun/member/table.h>
 #include <glib.h>
 
-/* Incarnations above this are refused, so that no update can push a node's own incarnation to a
- * value that it cannot raise any more. Start times in milliseconds stay far below. */
+/* Higher incarnations are refused, so that no update can raise a node's incarnation to a value
+ * above which it cannot refute. Start times in milliseconds stay far below. */
 #define FM_INCARNATION_MAX ((uint64_t)1 << 53)
 
-/* Members held at most, several times the target fleet; bounds the memory that bad updates can
- * claim. */
+/* Largest number of members, several times the target fleet; bounds the memory that invalid
+ * updates can allocate. */
 #define FM_MEMBERS_MAX 16384
 
 /* Transmissions of one update beyond log2 of the number of members. */
 #define FM_BASE_TRANSMISSIONS 3
 
-/* Length of the array of queues by transmission count: FM_BASE_TRANSMISSIONS plus log2 of
+/* Number of queues, one for each transmission count: FM_BASE_TRANSMISSIONS plus log2 of
  * FM_MEMBERS_MAX, and one. */
 #define FM_QUEUE_COUNT 18
 
-/* Pings forwarded for other members and not yet answered, at most. */
+/* Largest number of unanswered pings sent on behalf of other members. */
 #define FM_RELAYS_MAX 64
 
-/* Updates that one outgoing datagram may carry for its receiver in particular. */
+/* Largest number of updates that are addressed to the receiver of one datagram. */
 #define FM_PRIORITY_UPDATES_MAX 4
 
 typedef struct fm_entry fm_entry_t;
@@ -39,24 +39,24 @@
 {
   fw_member_t member;
   uint64_t digest;        /* contribution to the members digest */
-  fb_time_t deadline;     /* end of suspicion or of the retention; 0 for none */
-  fb_time_t changed_at;   /* last change learnt by gossip; 0 when learnt from a list */
-  guint list_index;       /* position in ORDER, or in DEAD for a dead member */
-  guint timed_index;      /* position in TIMED while DEADLINE is set */
+  fb_time_t deadline;     /* end of the suspicion or retention; 0 for none */
+  fb_time_t changed_at;   /* last change queued for gossip; 0 for none */
+  guint list_index;       /* position in PROBE_ORDER, or in DEAD for a dead member */
+  guint timed_index;      /* position in TIMED while DEADLINE is not 0 */
   guint service_index;    /* position in SERVICE's entries */
-  fm_service_t *service;  /* NULL while not offered */
-  uint32_t transmissions; /* transmissions of the current update */
-  uint64_t last_datagram; /* number of the last datagram built with this entry */
+  fm_service_t *service;  /* NULL while neither alive nor suspect */
+  uint32_t transmissions; /* of the current update */
+  uint64_t last_datagram; /* DATAGRAMS_BUILT of the last datagram with this entry */
   bool queued;
   GList queue_link;
   GList recent_link;
 };
 
-/* The one outstanding probe. */
+/* The outstanding probe; there is at most one. */
 typedef struct
 {
   bool active;
-  bool indirect_sent; /* the indirect pings were sent */
+  bool indirect_sent;
   fb_name_t id;
   uint64_t incarnation; /* of the target when the probe started */
   uint64_t sequence;
@@ -67,7 +67,7 @@
 /* A ping sent on behalf of another member. */
 typedef struct
 {
-  uint64_t sequence;           /* of the ping sent to the target; 0 for an unused place */
+  uint64_t sequence;           /* of the ping sent to the target; 0 when unused */
   uint64_t requester_sequence; /* of the request */
   fb_name_t target;
   fb_name_t address; /* of the requester */
@@ -92,23 +92,23 @@
   GRand *random;
   fm_entry_t *self;
   fb_version_t version;
-  fb_time_t last_tick; /* or the creation */
+  fb_time_t last_tick; /* time of creation before the first tick */
 
   GHashTable *by_id;      /* fb_name_t in the entry -> fm_entry_t, owned */
   GPtrArray *sorted;      /* all entries by id */
-  GPtrArray *probe_order; /* members to probe: all others that are not dead */
-  guint probe_cursor;     /* entries of ORDER before it were probed in this round */
-  GPtrArray *dead;        /* dead members within the retention */
+  GPtrArray *probe_order; /* members to probe: all but this node and the dead */
+  guint probe_cursor;     /* entries before it were probed in this round */
+  GPtrArray *dead;        /* dead members that are retained */
   GPtrArray *timed;       /* entries with a deadline */
   GHashTable *services;   /* fb_name_t in the service -> fm_service_t, owned */
   size_t state_counts[FW_DEAD + 1];
   uint64_t digest;
   fb_time_t digest_changed_at;
 
-  GQueue queues[FM_QUEUE_COUNT]; /* updates to send, by transmissions so far */
+  GQueue queues[FM_QUEUE_COUNT]; /* updates to send, by transmission count */
   size_t queued_count;
-  GQueue recent;            /* all entries, last changed first */
-  uint64_t datagrams_built; /* datagrams built */
+  GQueue recent; /* all entries, last changed first */
+  uint64_t datagrams_built;
 
   fm_probe_t probe;
   fb_time_t next_probe_at;
@@ -119,17 +119,17 @@
   guint dead_cursor;
   guint gossip_cursor;
   uint64_t sequence;
-  uint32_t health_score; /* 0 is healthy; the timeouts are multiplied by HEALTH + 1 */
+  uint32_t health_score; /* 0 is healthy; timeouts are multiplied by HEALTH_SCORE + 1 */
   fm_relay_t relays[FM_RELAYS_MAX];
   guint next_relay;
 
-  fb_time_t digest_matched_at; /* last datagram with the own digest */
-  uint64_t peer_digest;        /* another digest heard while the own one stood still */
+  fb_time_t digest_matched_at; /* last datagram whose digest equals DIGEST */
+  uint64_t peer_digest;        /* differing digest received since DIGEST last changed */
   fb_time_t peer_digest_since; /* 0 for none */
   fb_time_t next_divergence_at;
 };
 
-/* Where an update comes from. */
+/* Source of an update. */
 typedef enum
 {
   FM_SOURCE_SUBJECT,  /* the member describes itself */
@@ -138,12 +138,12 @@
   FM_SOURCE_DETECTOR, /* this node's own probes and timers */
 } fm_source_t;
 
-/* Updates for the receiver of one datagram, sent ahead of the queued ones. */
+/* Updates addressed to the receiver of one datagram, sent ahead of the queued ones. */
 typedef struct
 {
   size_t count;
   const fm_entry_t *entries[FM_PRIORITY_UPDATES_MAX];
-  bool include_recent; /* the receiver's member list differs: add recent changes */
+  bool include_recent; /* set when the receiver's member list differs */
 } fm_priority_updates_t;
 
 /* member-index.c */
@@ -152,7 +152,7 @@
 fm_entry_t *fm_find_entry (const fm_table_t *table, const fb_name_t *id);
 /* Adds an entry for MEMBER, which must be unknown. */
 fm_entry_t *fm_insert_entry (fm_table_t *table, const fw_member_t *member);
-/* Replaces the description of ENTRY and brings every index up to date. */
+/* Replaces the description of ENTRY and updates every index. */
 void fm_replace_entry (fm_table_t *table, fm_entry_t *entry, const fw_member_t *member);
 /* Removes and frees ENTRY. */
 void fm_remove_entry (fm_table_t *table, fm_entry_t *entry);
@@ -160,7 +160,6 @@
 void fm_set_deadline (fm_table_t *table, fm_entry_t *entry, fb_time_t deadline);
 /* Makes ENTRY the next member to be probed. */
 void fm_set_next_probe_target (fm_table_t *table, fm_entry_t *entry);
-/* Creates and frees the indexes. */
 void fm_create_indexes (fm_table_t *table);
 void fm_destroy_indexes (fm_table_t *table);
 
@@ -168,47 +167,46 @@
 
 /* Queues the current state of ENTRY for transmission and makes it the most recent change. */
 void fm_queue_entry (fm_table_t *table, fm_entry_t *entry);
-/* Takes ENTRY out of the queue. */
 void fm_dequeue_entry (fm_table_t *table, fm_entry_t *entry);
-/* Sends one datagram with as many updates as fit; TARGET and TOLD may be NULL. */
+/* Sends one datagram with as many updates as fit; TARGET and PRIORITY may be NULL. */
 void fm_send_datagram (fm_table_t *table, fw_datagram_kind_t kind, uint64_t sequence,
                        const fb_name_t *address, uint16_t port, const fb_name_t *target,
                        const fm_priority_updates_t *priority);
 /* Sends a GOSSIP datagram to a member. */
 void fm_send_gossip (fm_table_t *table, const fm_entry_t *to,
                      const fm_priority_updates_t *priority);
-/* Sends the queued updates to the next members, when there are any. */
+/* Sends the queued updates, if any, to the next gossip_fanout members. */
 void fm_run_gossip (fm_table_t *table);
 
 /* member-update.c */
 
-/* Applies one update by the rules of the package. When a known entry contradicts an accusation
- * in UPDATE, it is added to TOLD, which may be NULL. */
+/* Applies one update by the override rules. When UPDATE is a suspicion or death that a known
+ * entry overrides, the entry is added to PRIORITY, which may be NULL. */
 void fm_apply_update (fm_table_t *table, const fw_member_t *update, fm_source_t source,
                       fm_priority_updates_t *priority);
-/* Starts the suspicion of ENTRY after a failed probe. */
-/* Tells the owner, while this node is alive, that the host list has it leave. */
+/* Calls the leave_requested hook if this node is alive. */
 void fm_request_leaving (fm_table_t *table);
-
+/* Suspects ENTRY after a failed probe. */
 void fm_suspect_entry (fm_table_t *table, fm_entry_t *entry);
-/* Changes the own state or incarnation and queues it. */
+/* Changes the incarnation and state of this node and queues the update. */
 void fm_change_self (fm_table_t *table, uint64_t incarnation, fw_member_state_t state);
-/* Ends suspicions and retentions that are over. */
+/* Declares members dead whose suspicion has expired, and removes dead members after their
+ * retention. */
 void fm_run_deadlines (fm_table_t *table, fb_time_t now);
-/* Adds ENTRY to the updates for a receiver, when there is room. */
+/* Adds ENTRY to PRIORITY; does nothing when PRIORITY is full. */
 void fm_add_priority_update (fm_priority_updates_t *priority, const fm_entry_t *entry);
-/* Returns the time that a suspicion lasts with the present local health. */
+/* Returns the suspicion timeout, scaled by the local health. */
 fb_time_t fm_get_suspicion_timeout (const fm_table_t *table);
 
 /* member-probe.c */
 
 /* Runs the probes that are due. */
 void fm_run_probes (fm_table_t *table, fb_time_t now);
-/* Takes an ACK: ends the outstanding probe, or forwards it to a requester. */
+/* Handles an ACK: ends the outstanding probe, or forwards the ACK to a requester. */
 void fm_handle_ack (fm_table_t *table, const fw_datagram_t *datagram);
 /* Pings the target of a PING_REQ on behalf of its sender. */
 void fm_handle_ping_req (fm_table_t *table, const fw_datagram_t *datagram);
-/* Drops the outstanding probe and the forwarded pings. */
+/* Cancels the outstanding probe and all pings sent on behalf of other members. */
 void fm_reset_probes (fm_table_t *table, fb_time_t now);
 
 #endif
--- a/packages/member/source/member-update.c
+++ b/packages/member/source/member-update.c
@@ -1,4 +1,4 @@
-/* The rules by which updates change the table. */
+/* Rules for applying updates to the table. */
 #include "member-table.h"
 #include <foxtailrun/base/invariant.h>
 #include <string.h>
@@ -40,8 +40,8 @@
   report_change (table, entry, &previous);
 }
 
-/* Least time between two refutations of another process that speaks under this node's id: the
- * two would answer each other without end, at the cost of the whole fleet. */
+/* Shortest time between two refutations of another process with this node's id; without a limit
+ * the two would refute each other endlessly and load the entire fleet. */
 #define CONFLICT_REFUTATION_INTERVAL FB_SECOND
 
 void
@@ -69,7 +69,8 @@
   update_entry (table, entry, &next);
 }
 
-/* An update about this node is only ever a reason to raise the own incarnation above it. */
+/* Handles an update about this node; the only change that it can cause is an incarnation above
+ * that of UPDATE. */
 static void
 refute_update (fm_table_t *table, const fw_member_t *update)
 {
@@ -78,8 +79,7 @@
 
   if (!fw_overrides (update, self))
     return;
-  /* Nobody but this process announces its leaving, so that the word comes from the host list.
-   */
+  /* This process has not announced its leaving, so the update comes from the host list. */
   if (update->state == FW_LEAVING && update->incarnation == self->incarnation)
     {
       fm_request_leaving (table);
@@ -106,8 +106,8 @@
 {
   fm_entry_t *entry;
 
-  /* A member that is unknown here needs no reminder of its death, and taking one would let two
-   * tables remind each other of it for ever. */
+  /* If tables added dead members that they do not know, two of them would send the same death
+   * to each other forever. */
   if (update->state == FW_DEAD)
     return;
   if (update->address.len == 0 || update->control_port == 0
@@ -118,25 +118,26 @@
     }
   entry = fm_insert_entry (table, update);
   start_deadline (table, entry);
-  /* The peer's list comes from members that know these entries already. */
+  /* Other members already know the entries of a peer's list. */
   if (source != FM_SOURCE_LIST)
     fm_queue_entry (table, entry);
   report_change (table, entry, NULL);
 }
 
-/* Changes UPDATE, an accusation of a member held to be alive under the same incarnation, to
- * what its source permits; returns whether anything is left of it. */
+/* Restricts UPDATE, a suspicion or death of a member that is alive here under the same
+ * incarnation, to what SOURCE permits; returns false when it must not be applied. */
 static bool
 restrict_accusation (fm_table_t *table, fm_entry_t *entry, fw_member_t *update,
                      fm_source_t source)
 {
-  /* After a partition the other side's list declares this whole side dead: probing decides. */
+  /* After a partition, lists of the other side declare all members of this side dead. Probe the
+   * member instead. */
   if (source == FM_SOURCE_LIST)
     {
       fm_set_next_probe_target (table, entry);
       return false;
     }
-  /* A death without a suspicion here leaves the member no time to refute it. */
+  /* Without a suspicion first, the member would have no time to refute its death. */
   if (source == FM_SOURCE_GOSSIP)
     update->state = FW_SUSPECT;
   return true;
@@ -187,7 +188,7 @@
     }
   if (update->incarnation == entry->member.incarnation)
     {
-      /* A member describes itself once for each incarnation. */
+      /* The description of a member is constant within an incarnation. */
       next = entry->member;
       next.state = update->state;
       if (entry->member.state == FW_ALIVE && next.state != FW_LEAVING
@@ -208,7 +209,7 @@
   fw_member_t next = entry->member;
   fm_priority_updates_t priority = { 0 };
 
-  /* A leaving member stays leaving while it is suspected. */
+  /* A leaving member keeps its state while it is suspected. */
   if (next.state == FW_LEAVING && entry->deadline == 0)
     fm_set_deadline (table, entry,
                      fb_read_clock (table->clock) + fm_get_suspicion_timeout (table));
--- a/packages/member/tests/fixture-fleet.c
+++ b/packages/member/tests/fixture-fleet.c
@@ -2,13 +2,13 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Time between two readings of the host list, as a reader's. */
+/* Time between two reads of the host list. */
 #define HOST_LIST_INTERVAL (30 * FB_SECOND)
 
-/* Time between the pings of a node that knows nobody. */
+/* Time between the pings of a node that knows no other member. */
 #define SEED_PING_INTERVAL FB_SECOND
 
-/* The request for a node's member list; the answer is an array of members. */
+/* Requests a node's member list; the response is an array of members. */
 #define LIST_REQUEST ((fb_bytes_t){ (const uint8_t *)"?", 1 })
 
 void
@@ -71,8 +71,8 @@
 
   if (node->fleet->forbid_false_deaths && member->state == FW_DEAD && subject->state == FLEET_UP
       && member->incarnation >= subject->first_incarnation)
-    fleet_fail (node->fleet, "node-%02zu declares node-%02zu dead, which runs", node->index,
-                subject->index);
+    fleet_fail (node->fleet, "node-%02zu declares node-%02zu dead, which is running",
+                node->index, subject->index);
 }
 
 static void
@@ -90,7 +90,7 @@
   return true;
 }
 
-/* Answers the request for the member list, or takes the list. */
+/* Responds to a request for the member list, or merges a received list. */
 static void
 handle_list (fleet_node_t *node, size_t from, fb_bytes_t bytes)
 {
@@ -152,12 +152,12 @@
     }
 }
 
-/* One pass over a table's members. */
+/* State of one pass over the members of a table. */
 typedef struct
 {
   fleet_node_t *node;
   size_t counts[FW_DEAD + 1];
-  size_t offered; /* in any service */
+  size_t offered; /* alive or suspect members not yet found in a service */
   bool present[FX_NODES_MAX];
 } scan_t;
 
@@ -176,7 +176,7 @@
   if (observed->known
       && (member->incarnation < observed->incarnation
           || (member->incarnation == observed->incarnation && member->state < observed->state)))
-    fleet_fail (scan->node->fleet, "node-%02zu takes node-%02zu back from %s@%lu to %s@%lu",
+    fleet_fail (scan->node->fleet, "node-%02zu reverts node-%02zu from %s@%lu to %s@%lu",
                 scan->node->index, index, fw_describe_state (observed->state),
                 observed->incarnation, fw_describe_state (member->state), member->incarnation);
   if (member->state == FW_DEAD && !(observed->known && observed->state == FW_DEAD))
@@ -220,17 +220,19 @@
         continue;
       if (observed->state != FW_DEAD
           || now - observed->dead_since < fm_get_default_options ().dead_retention)
-        fleet_fail (fleet, "node-%02zu forgets node-%02zu too early", index, i);
+        fleet_fail (fleet, "node-%02zu removes node-%02zu before the end of its retention",
+                    index, i);
       observed->known = false;
     }
   for (size_t i = 0; i <= FW_DEAD; i++)
     if (scan.counts[i] != fm_count_members (scan.node->table, (fw_member_state_t)i))
-      fleet_fail (fleet, "node-%02zu miscounts its %s members", index,
+      fleet_fail (fleet, "node-%02zu reports a wrong count of %s members", index,
                   fw_describe_state ((fw_member_state_t)i));
   for (size_t i = 0; i < G_N_ELEMENTS (services); i++)
     fm_visit_service (scan.node->table, fb_wrap_text (services[i]), scan_offer, &scan);
   if (scan.offered != 0)
-    fleet_fail (fleet, "node-%02zu offers other members than it holds alive", index);
+    fleet_fail (fleet, "node-%02zu does not offer exactly its alive and suspect members",
+                index);
 }
 
 fleet_t *
@@ -353,7 +355,7 @@
       for (size_t j = 0; j < fleet->count; j++)
         if (!is_view_correct (viewer, &fleet->nodes[j]))
           {
-            g_snprintf (reason, size, "node-%02zu is wrong about node-%02zu", i, j);
+            g_snprintf (reason, size, "node-%02zu has a wrong entry for node-%02zu", i, j);
             return false;
           }
       first = first ? first : viewer;
--- a/packages/member/tests/fixture-fleet.h
+++ b/packages/member/tests/fixture-fleet.h
@@ -1,4 +1,4 @@
-/* Membership tables on the fake network, with what is true about each node and the invariants
+/* Membership tables on the simulated network, with the true state of each node and invariants
  * that are checked after every step. */
 #ifndef FIXTURE_FLEET_H
 #define FIXTURE_FLEET_H
@@ -15,7 +15,7 @@
 
 typedef struct fleet fleet_t;
 
-/* What a table last said about one member. */
+/* Last observed entry of one member in a table. */
 typedef struct
 {
   bool known;
@@ -30,7 +30,7 @@
   size_t index;
   fleet_state_t state;
   bool leaving;
-  unsigned generation; /* of the address */
+  unsigned generation; /* of the address; incremented when the node moves */
   uint64_t first_incarnation;
   fm_table_t *table;
   fb_counters_t *counters;
@@ -45,11 +45,12 @@
   GRand *random;
   uint32_t seed;
   size_t count;
-  bool forbid_false_deaths; /* a death seen of a process that runs fails the test */
+  bool forbid_false_deaths; /* fail when a running process is declared dead */
   fleet_node_t nodes[FX_NODES_MAX];
 };
 
-/* Creates COUNT nodes that are down; SEED decides everything random. */
+/* Creates COUNT nodes that are down; SEED determines all random choices. Destroy with
+ * fleet_destroy. */
 fleet_t *fleet_create (size_t count, uint32_t seed);
 void fleet_destroy (fleet_t *fleet);
 
@@ -59,11 +60,12 @@
 void fleet_pause (fleet_t *fleet, size_t node);
 void fleet_resume (fleet_t *fleet, size_t node);
 void fleet_leave (fleet_t *fleet, size_t node);
-/* Returns whether every table that runs holds exactly the running members as alive or leaving,
- * and all digests are equal; otherwise describes a difference in WHY. */
+
+/* Returns whether all running tables list exactly the running members as alive or leaving, and
+ * have equal digests; otherwise describes a difference in REASON, a buffer of SIZE bytes. */
 bool fleet_is_converged (fleet_t *fleet, char *reason, size_t size);
 
-/* Returns the first table that runs and holds NODE in a state below STATE, or -1. */
+/* Returns the first running node whose table has NODE in a state below STATE, or -1. */
 int fleet_find_stale_viewer (fleet_t *fleet, size_t node, fw_member_state_t state);
 
 /* Reports the seed, the simulated time and MESSAGE, and aborts. */
--- a/packages/member/tests/fixture-network.c
+++ b/packages/member/tests/fixture-network.c
@@ -1,6 +1,6 @@
 #include "fixture-network.h"
 
-/* Messages that wait for a paused node; later ones are lost. */
+/* Largest number of messages queued for a paused node; later ones are lost. */
 #define WAITING_MESSAGES_MAX 128
 
 typedef enum
@@ -14,13 +14,12 @@
 {
   run_state_t state;
   unsigned group;
-  unsigned epoch; /* raised by each start and stop */
+  unsigned epoch; /* incremented by each start and stop */
   GQueue waiting;
-  fb_time_t
-      last_stream_arrival[FX_NODES_MAX]; /* arrival of the last stream message to each node */
+  fb_time_t last_stream_arrival[FX_NODES_MAX]; /* by receiving node */
 } node_t;
 
-/* A message under way, or a tick when BYTES is NULL. */
+/* A message in transit, or a tick when BYTES is NULL. */
 typedef struct
 {
   fb_time_t due_at;
@@ -101,7 +100,7 @@
   network->hooks.check (node, network->hooks.user);
 }
 
-/* Handles EVENT, which it owns. */
+/* Handles EVENT and takes ownership of it. */
 static void
 handle_event (fx_network_t *network, event_t *event)
 {
@@ -122,7 +121,7 @@
            || (event->channel == FX_STREAM
                && (from->epoch != event->from_epoch || to->epoch != event->to_epoch)))
     {
-      /* Lost. */
+      /* The message is lost. */
     }
   else if (to->state == RUNNING)
     run_receive (network, event);
--- a/packages/member/tests/fixture-table.c
+++ b/packages/member/tests/fixture-table.c
@@ -116,8 +116,6 @@
   return &g_array_index (fixture->sent, fw_datagram_t, index);
 }
 
-/* Lets time pass while every member but the one called SILENT, which may be NULL, answers
- * pings. */
 void
 fixture_run_answering (fixture_t *fixture, fb_time_t duration, const char *silent)
 {
--- a/packages/member/tests/fixture-table.h
+++ b/packages/member/tests/fixture-table.h
@@ -1,10 +1,10 @@
-/* One membership table on a manual clock that records what it sends. */
+/* One membership table on a manual clock, with a record of the datagrams that it sends. */
 #ifndef FIXTURE_TABLE_H
 #define FIXTURE_TABLE_H
 
 #include "member-table.h"
 
-/* Numbers of peers are below this. */
+/* Upper bound of peer numbers, exclusive. */
 #define PEERS_MAX 64
 
 typedef struct
@@ -13,25 +13,26 @@
   fb_counters_t *counters;
   fm_table_t *table;
   GArray *sent;            /* fw_datagram_t */
-  GArray *ports;           /* uint16_t, of the same datagrams */
-  unsigned divergences;    /* calls of that hook */
-  unsigned leave_requests; /* calls of that hook */
+  GArray *ports;           /* uint16_t, the destination ports of the same datagrams */
+  unsigned divergences;    /* calls of the diverged hook */
+  unsigned leave_requests; /* calls of the leave_requested hook */
 } fixture_t;
 
 /* Describes peer NUMBER, which listens on port NUMBER. */
 fw_member_t fixture_make_member (unsigned number, uint64_t incarnation,
                                  fw_member_state_t state);
 
-/* Opens a table of peer 99 (zone-a, west) that knows PEERS peers, all alive@5. */
+/* Creates the table of peer 99 (zone-a, west), which knows PEERS alive peers, all with
+ * incarnation 5. */
 void fixture_open (fixture_t *fixture, unsigned peers);
 
-/* Frees what fixture_open made. */
+/* Frees the contents of FIXTURE. */
 void fixture_close (fixture_t *fixture);
 
 /* Ticks every 100 ms for DURATION ns. */
 void fixture_run (fixture_t *fixture, fb_time_t duration);
 
-/* Hands DATAGRAM to the table and returns its answer. */
+/* Passes DATAGRAM to the table and returns the result. */
 fb_status_t fixture_deliver (fixture_t *fixture, const fw_datagram_t *datagram);
 
 /* Delivers UPDATE in a datagram from peer 1. */
@@ -40,11 +41,11 @@
 /* Returns the last datagram sent. */
 const fw_datagram_t *fixture_get_last_sent (const fixture_t *fixture);
 
-/* Returns a datagram sent, from 0. */
+/* Returns the sent datagram at INDEX, counted from 0. */
 const fw_datagram_t *fixture_get_sent (const fixture_t *fixture, guint index);
 
-/* Lets time pass while every member but the one called SILENT, which may be NULL, answers
- * pings. */
+/* Runs for DURATION ns while all members answer pings, except the one with the id SILENT, which
+ * may be NULL. */
 void fixture_run_answering (fixture_t *fixture, fb_time_t duration, const char *silent);
 
 /* Returns whether DATAGRAM carries the id and state of MEMBER. */
--- a/packages/member/tests/test-listing.c
+++ b/packages/member/tests/test-listing.c
@@ -1,4 +1,4 @@
-/* Endpoints that a platform lists, through outages of the list. */
+/* Endpoints listed by a platform, during outages of the list. */
 #include <foxtailrun/member/listing.h>
 #include <glib.h>
 #include <string.h>
@@ -39,8 +39,9 @@
   fm_remove_endpoint (fixture->listing, &name);
 }
 
-/* Runs one step: "+a" lists a, "~a" lists it as leaving, "-a" removes it, "(" and ")" surround
- * a whole list, "!" loses the source, "?" regains it, a digit passes so many half seconds. */
+/* Runs one step: "+a" adds a, "~a" adds it as leaving, "-a" removes it, "(" and ")" begin and
+ * end a full read, "!" and "?" mark the source unavailable and available, and a digit advances
+ * the clock by that many half seconds. */
 static void
 run_step (fixture_t *fixture, const char *step)
 {
@@ -73,9 +74,9 @@
     }
 }
 
-/* Guards against an endpoint that is dropped because the list cannot be read, or because its
- * entry lapsed meanwhile; against one that is kept when it is gone; and against a leaving mark
- * or a removal that waits although the list is sound. */
+/* Guards against endpoints that are removed because the list cannot be read or because their
+ * entries expired during an outage, against removed endpoints that stay listed, and against
+ * removals or leaving marks that are delayed while the listing is settled. */
 static void
 test_outages (void)
 {
--- a/packages/member/tests/test-member-probe.c
+++ b/packages/member/tests/test-member-probe.c
@@ -1,8 +1,8 @@
-/* What one membership table sends: probes, gossip and announcements. */
+/* Probes, gossip and announcements sent by one membership table. */
 #include "fixture-table.h"
 
-/* Guards against a paused node that declares everyone dead when it wakes up; and, so that the
- * first half can fail, against members that never die. */
+/* Guards against a node that declares all members dead after a pause, and against silent
+ * members that are never declared dead, in which case the first check could not fail. */
 static void
 test_pause (void)
 {
@@ -21,9 +21,9 @@
   fixture_close (&fixture);
 }
 
-/* Guards against updates that circulate for ever or die out at once (3 + log2 (33) copies are
- * sent), copies that go to one member again and again, and a member whose list differs and who
- * is not told of what has changed lately. */
+/* Guards against updates that circulate forever or are sent too rarely (3 + log2 (33) copies
+ * are expected), copies that are sent repeatedly to one member, and recent changes that are not
+ * sent to a member whose list differs. */
 static void
 test_transmissions (void)
 {
@@ -73,8 +73,8 @@
   return count;
 }
 
-/* Guards against members that are probed more often than others, timeouts that ignore local
- * health or grow without a limit, and a list's hint that does not lead to a probe. */
+/* Guards against members that are probed more often than others, timeouts that ignore the local
+ * health or grow without a limit, and deaths in a peer's list that do not lead to a probe. */
 static void
 test_schedule (void)
 {
@@ -116,10 +116,9 @@
   fixture_close (&fixture);
 }
 
-/* Guards against sides of a healed partition that never call each other, accused members that
- * are pinged without a word of it, and a leaving member that is taken for dead while it still
- * speaks, or that never dies once it is silent.
- */
+/* Guards against sides of a healed partition that never ping each other, suspect or dead
+ * members whose pings do not carry that state, leaving members that are declared dead while
+ * they still send datagrams, and leaving members that are never declared dead once silent. */
 static void
 test_silent_member (void)
 {
@@ -160,8 +159,8 @@
   fixture_close (&fixture);
 }
 
-/* Guards against a helper that does not forward the ack, or does so for another member's ack.
- */
+/* Guards against a requested node that does not forward the ack of the target, or that forwards
+ * the ack of another member. */
 static void
 test_relay (void)
 {
@@ -190,9 +189,9 @@
   fixture_close (&fixture);
 }
 
-/* Guards against a probe that ends on the word of another process at the target's address, that
- * never asks helpers or ignores them, and that blames a restarted member for its predecessor.
- */
+/* Guards against probes that accept the ack of another process at the target's address, that
+ * send no indirect pings or ignore forwarded acks, and that suspect a restarted member for a
+ * ping to its earlier incarnation. */
 static void
 test_probe (void)
 {
@@ -241,7 +240,7 @@
     }
 }
 
-/* Guards against announcements that stay in one zone or go to one member twice. */
+/* Guards against announcements that stay in one zone or are sent twice to one member. */
 static void
 test_announce (void)
 {
--- a/packages/member/tests/test-member-random.c
+++ b/packages/member/tests/test-member-random.c
@@ -5,28 +5,26 @@
 
 #define SEEDS_DEFAULT 32
 
-/* From the last fault to the moment when every table is right, by the protocol's periods:
- * the host list is read again (30 s), a stale entry is probed at the latest by the end of the
- * next round of 11 members with a ping each second, suspected for 4 s times the health
- * multiplier 4, and a list that still differs is fetched (5 s to notice, 10 s between fetches);
- * 5 s for spreading.
- */
+/* Longest time from the last fault to convergence: 30 s until the host list is read again, at
+ * most two rounds of 11 pings at 1 s until a stale entry is probed, a suspicion of 4 s times
+ * the health multiplier 4, 15 s to detect and fetch a list that still differs (5 s and 10 s),
+ * and 5 s to spread. */
 #define CONVERGENCE_TIME_MAX ((30 + 2 * 11 + 4 * 4 + 15 + 5) * FB_SECOND)
 
 /* A leaving node receives no new work after 3 s (guarantee G7). */
 #define LEAVE_SPREAD_TIME_MAX (3 * FB_SECOND)
 
-/* Of a healthy fleet: two rounds of 11 pings at worst, the period of the failed probe, 4 s of
- * suspicion, 1 s for spreading, and for a table that missed the suspicion another 4 s. */
+/* In a healthy fleet: at most two rounds of 11 pings at 1 s, 1 s for the failed probe, 4 s of
+ * suspicion, 1 s to spread, and another 4 s for a table that missed the suspicion. */
 #define DEATH_DETECTION_TIME_MAX ((2 * 11 + 1 + 4 + 1 + 4) * FB_SECOND)
 
-/* Longest times seen over all seeds. */
+/* Times over all seeds. */
 static fb_time_t longest_convergence;
 static fb_time_t longest_leave_spread;
 static fb_time_t longest_death_detection;
 static fb_time_t total_death_detection;
 
-/* Runs until all tables are right; returns how long that took. */
+/* Runs until the fleet has converged; returns the time that it took. */
 static fb_time_t
 run_until_converged (fleet_t *fleet, const char *phase)
 {
@@ -51,7 +49,7 @@
   while (fleet_find_stale_viewer (fleet, node, state) >= 0)
     {
       if (waited >= limit)
-        fleet_fail (fleet, "node-%02d does not hold node-%02zu %s after %ld ms",
+        fleet_fail (fleet, "node-%02d does not list node-%02zu as %s after %ld ms",
                     fleet_find_stale_viewer (fleet, node, state), node,
                     fw_describe_state (state), (long)(waited / FB_MILLISECOND));
       fx_run (fleet->network, FX_TICK_INTERVAL);
@@ -133,7 +131,7 @@
         set_random_faults (fleet, random);
       else
         inject_node_fault (fleet, random, (size_t)g_rand_int_range (random, 0, (gint32)count));
-      /* Short and long waits, some beyond the retention of the dead. */
+      /* Some waits are longer than the retention of dead members. */
       fx_run (fleet->network,
               g_rand_int_range (random, 10, i % 8 == 7 ? 70000 : 5000) * FB_MILLISECOND);
     }
@@ -155,8 +153,8 @@
     }
 }
 
-/* Without loss and pauses: a leaving node and a killed one become known in time, and nobody
- * else is declared dead. */
+/* Checks without loss and pauses that a leaving node and a killed node become known in time,
+ * and that no other member is declared dead. */
 static void
 run_healthy (fleet_t *fleet, GRand *random, size_t count)
 {
@@ -184,7 +182,7 @@
   total_death_detection += waited;
   run_until_converged (fleet, "kill");
   fx_run (fleet->network, 20 * FB_SECOND);
-  g_assert_cmpint (run_until_converged (fleet, "rest"), ==, 0);
+  g_assert_cmpint (run_until_converged (fleet, "idle"), ==, 0);
 }
 
 static void
@@ -207,8 +205,8 @@
   g_rand_free (random);
 }
 
-/* Guards against tables that resurrect, forget or offer what they must not under any mix of
- * faults, and against fleets that stay wrong once the faults stop. */
+/* Guards against tables that revert, remove or offer members wrongly under random faults, and
+ * against fleets that do not converge once the faults stop. */
 static void
 test_random (void)
 {
@@ -222,8 +220,8 @@
       g_test_message ("seed %u", seed);
       run_seed (seed);
     }
-  g_test_message ("%u seeds; longest convergence %ld ms, leaving %ld ms, kill %ld ms (mean %ld "
-                  "ms)",
+  g_test_message ("%u seeds; longest convergence %ld ms, leave spread %ld ms, death "
+                  "detection %ld ms (mean %ld ms)",
                   seeds, (long)(longest_convergence / FB_MILLISECOND),
                   (long)(longest_leave_spread / FB_MILLISECOND),
                   (long)(longest_death_detection / FB_MILLISECOND),
--- a/packages/member/tests/test-member-update.c
+++ b/packages/member/tests/test-member-update.c
@@ -1,8 +1,8 @@
-/* Rules by which datagrams and lists change one membership table. */
+/* Rules for applying datagrams and lists to one membership table. */
 #include "fixture-table.h"
 
-/* Guards against updates about this node that change it in any way but a higher incarnation,
- * and against a leaving node that becomes alive again by refuting. */
+/* Guards against updates about this node that change more than its incarnation, and against a
+ * refutation that makes a leaving node alive again. */
 static void
 test_refute (void)
 {
@@ -36,14 +36,14 @@
     }
 }
 
-/* Guards against old updates that resurrect, leaving members that return, deaths that leave no
- * time to refute, and lists that carry a partition's deaths over. */
+/* Guards against old updates that make dead members alive or leaving members available again,
+ * deaths that leave no time to refute, and lists that spread the deaths of a partition. */
 static void
 test_override (void)
 {
   static const struct
   {
-    fw_member_state_t held;
+    fw_member_state_t current;
     uint64_t incarnation;
     fw_member_state_t state;
     bool list;
@@ -69,9 +69,10 @@
       fw_member_t update = fixture_make_member (2, cases[i].incarnation, cases[i].state);
       fixture_t fixture;
       fixture_open (&fixture, 2);
-      if (cases[i].held == FW_DEAD)
+      if (cases[i].current == FW_DEAD)
         fixture_deliver_update (&fixture, FW_GOSSIP, fixture_make_member (2, 5, FW_SUSPECT));
-      fixture_deliver_update (&fixture, FW_GOSSIP, fixture_make_member (2, 5, cases[i].held));
+      fixture_deliver_update (&fixture, FW_GOSSIP,
+                              fixture_make_member (2, 5, cases[i].current));
       if (cases[i].list)
         fm_merge_members (fixture.table, &update, 1);
       else
@@ -82,39 +83,39 @@
     }
 }
 
-/* Guards against a member that is never told of what is held against it, and against its
- * datagram clearing it without a refutation. */
+/* Guards against a suspect, leaving or outdated sender that does not receive the overriding
+ * entry in the reply, and against its datagram changing that entry without a refutation. */
 static void
-test_accused_sender (void)
+test_overridden_sender (void)
 {
   static const struct
   {
     fw_member_state_t state;
-    uint64_t incarnation; /* of the sender; the accusation is at 5 */
+    uint64_t incarnation; /* of the sender; that of the entry is 5 */
   } cases[] = { { FW_SUSPECT, 5 }, { FW_LEAVING, 5 }, { FW_LEAVING, 3 }, { FW_ALIVE, 3 } };
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       fw_datagram_t ping = { .kind = FW_PING, .sequence = 7 };
-      fw_member_t held = fixture_make_member (2, 5, cases[i].state);
+      fw_member_t entry = fixture_make_member (2, 5, cases[i].state);
       fixture_t fixture;
       fixture_open (&fixture, 2);
-      fixture_deliver_update (&fixture, FW_GOSSIP, held);
+      fixture_deliver_update (&fixture, FW_GOSSIP, entry);
       fixture_run (&fixture, 10 * 100 * FB_MILLISECOND);
       ping.sender = fixture_make_member (2, cases[i].incarnation, FW_ALIVE);
       g_assert_cmpint (fixture_deliver (&fixture, &ping), ==, FB_OK);
-      g_assert_cmpint (fm_find_member (fixture.table, &held.id)->state, ==, held.state);
+      g_assert_cmpint (fm_find_member (fixture.table, &entry.id)->state, ==, entry.state);
       g_assert_cmpint (fixture_get_last_sent (&fixture)->kind, ==, FW_ACK);
       g_assert_cmpuint (fixture_get_last_sent (&fixture)->sequence, ==, 7);
       g_assert_true (
-          fb_equal_name (&fixture_get_last_sent (&fixture)->updates[0].id, &held.id));
-      g_assert_cmpint (fixture_get_last_sent (&fixture)->updates[0].state, ==, held.state);
+          fb_equal_name (&fixture_get_last_sent (&fixture)->updates[0].id, &entry.id));
+      g_assert_cmpint (fixture_get_last_sent (&fixture)->updates[0].state, ==, entry.state);
       fixture_close (&fixture);
     }
 }
 
-/* Guards against one datagram that draws many replies, and against two processes under one id
- * that raise their incarnations against each other without end. */
+/* Guards against outdated updates that cause many replies, and against two processes with one
+ * id that refute each other endlessly. */
 static void
 test_reply_limits (void)
 {
@@ -142,8 +143,8 @@
   fixture_close (&fixture);
 }
 
-/* Guards against a difference between member lists that nobody notices, and against list
- * exchanges for updates that are under way or without a pause between them. */
+/* Guards against differing member lists that are not detected, and against list exchanges that
+ * are caused by spreading updates or follow each other too closely. */
 static void
 test_divergence (void)
 {
@@ -170,9 +171,9 @@
   fixture_close (&fixture);
 }
 
-/* Guards against senders that describe themselves in a way no node does, deaths of unknown
- * members that tables remind each other of for ever, and host list entries that become members
- * before they answered. */
+/* Guards against accepting invalid sender descriptions, against adding unknown members that are
+ * dead, which tables would send to each other forever, and against host list entries that
+ * become members before they have answered a ping. */
 static void
 test_invalid_sender (void)
 {
@@ -200,8 +201,8 @@
   fixture_close (&fixture);
 }
 
-/* Guards against a host that the host list has leave and that goes on to get work, and against
- * a refutation of it. */
+/* Guards against a host that stays alive although the host list requires it to leave, and
+ * against a refutation of that. */
 static void
 test_host_list_leaving (void)
 {
@@ -234,10 +235,10 @@
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/member/refute", test_refute);
   g_test_add_func ("/member/override", test_override);
-  g_test_add_func ("/member/accused-sender", test_accused_sender);
-  g_test_add_func ("/member/cost", test_reply_limits);
+  g_test_add_func ("/member/overridden-sender", test_overridden_sender);
+  g_test_add_func ("/member/reply-limits", test_reply_limits);
   g_test_add_func ("/member/divergence", test_divergence);
-  g_test_add_func ("/member/bad-sender", test_invalid_sender);
+  g_test_add_func ("/member/invalid-sender", test_invalid_sender);
   g_test_add_func ("/member/host-list-leaving", test_host_list_leaving);
   return g_test_run ();
 }
