--- a/packages/dist/source/dist-bucket.c
+++ b/packages/dist/source/dist-bucket.c
@@ -9,17 +9,17 @@
 bool
 fd_has_token (fd_bucket_t *bucket, fb_time_t now)
 {
-  double earned = (double)(now - bucket->filled_at) / (double)FB_SECOND * bucket->rate;
+  double earned = (double)(now - bucket->updated_at) / (double)FB_SECOND * bucket->rate;
 
   bucket->tokens += earned;
   if (bucket->tokens > bucket->burst)
     bucket->tokens = bucket->burst;
-  bucket->filled_at = now;
+  bucket->updated_at = now;
   return bucket->tokens >= 1;
 }
 
 bool
-fd_take_token (fd_bucket_t *bucket, fb_time_t now)
+fd_consume_token (fd_bucket_t *bucket, fb_time_t now)
 {
   if (!fd_has_token (bucket, now))
     return false;
--- a/packages/dist/source/dist-bucket.h
+++ b/packages/dist/source/dist-bucket.h
@@ -8,18 +8,18 @@
 typedef struct
 {
   double rate;  /* tokens a second */
-  double burst; /* most tokens held */
+  double burst; /* capacity of the bucket */
   double tokens;
-  fb_time_t filled_at;
+  fb_time_t updated_at;
 } fd_bucket_t;
 
 /* Returns a full bucket. */
 fd_bucket_t fd_make_bucket (double rate, double burst, fb_time_t now);
 
-/* Returns whether a token is there at NOW, without taking it. */
+/* Returns whether a token is available at NOW, without consuming it. */
 bool fd_has_token (fd_bucket_t *bucket, fb_time_t now);
 
-/* Takes one token; returns false when there is none. */
-bool fd_take_token (fd_bucket_t *bucket, fb_time_t now);
+/* Consumes one token; returns false when none is available. */
+bool fd_consume_token (fd_bucket_t *bucket, fb_time_t now);
 
 #endif
--- a/packages/dist/source/dist-judge.c
+++ b/packages/dist/source/dist-document.c
@@ -1,4 +1,4 @@
-/* Judges documents and puts them in force; remembers earlier and refused ones. */
+/* Checks documents and applies valid ones; records earlier and refused documents. */
 #include "dist-state.h"
 #include <foxtailrun/base/invariant.h>
 #include <string.h>
@@ -24,10 +24,10 @@
 }
 
 static void
-remember_refusal (fd_node_t *node, const fb_digest_t *digest, uint64_t number)
+record_refusal (fd_node_t *node, const fb_digest_t *digest, uint64_t number)
 {
-  node->refusals[node->refusal_next] = (fd_refusal_t){ *digest, number };
-  node->refusal_next = (node->refusal_next + 1) % FD_REFUSALS_MAX;
+  node->refusals[node->next_refusal] = (fd_refusal_t){ *digest, number };
+  node->next_refusal = (node->next_refusal + 1) % FD_REFUSALS_MAX;
   if (node->refusal_count < FD_REFUSALS_MAX)
     node->refusal_count++;
 }
@@ -37,7 +37,7 @@
 {
   char text[FB_VERSION_TEXT_MAX];
 
-  remember_refusal (node, &version->digest, 0);
+  record_refusal (node, &version->digest, 0);
   fb_add_counter (node->counters.refused, 1);
   fb_format_version (version, text, sizeof text);
   FB_LOG (node->log, FB_LOG_WARNING, "dist", "document refused", FB_TEXT ("version", text),
@@ -45,22 +45,22 @@
   node->hooks.refused (version, problems, node->hooks.user);
 }
 
-/* The same document under another number than it carries. The document itself may be valid, so
- * only the pair of digest and number is remembered. */
+/* Refuses a document that carries another number than the peer claimed. The document itself may
+ * be valid, so only the pair of digest and number is recorded. */
 static void
-refuse_claim (fd_node_t *node, const fb_version_t *version)
+refuse_claimed_number (fd_node_t *node, const fb_version_t *version)
 {
   char text[FB_VERSION_TEXT_MAX];
 
-  remember_refusal (node, &version->digest, version->number);
+  record_refusal (node, &version->digest, version->number);
   fb_add_counter (node->counters.claim_mismatches, 1);
   fb_format_version (version, text, sizeof text);
-  FB_LOG (node->log, FB_LOG_WARNING, "dist", "claimed number is not the document's",
+  FB_LOG (node->log, FB_LOG_WARNING, "dist", "document carries another number than claimed",
           FB_TEXT ("version", text));
 }
 
 static void
-keep_earlier (fd_node_t *node)
+push_history (fd_node_t *node)
 {
   fb_bytes_t document;
 
@@ -69,9 +69,11 @@
   document = fc_get_document (node->snapshot);
   if (node->history_count == FD_HISTORY_MAX)
     g_free (node->history[--node->history_count].data);
-  memmove (&node->history[1], &node->history[0], node->history_count * sizeof (fd_earlier_t));
-  node->history[0] = (fd_earlier_t){ node->version.digest,
-                                     g_memdup2 (document.data, document.len), document.len };
+  memmove (&node->history[1], &node->history[0],
+           node->history_count * sizeof (fd_history_entry_t));
+  node->history[0]
+      = (fd_history_entry_t){ node->version.digest, g_memdup2 (document.data, document.len),
+                              document.len };
   node->history_count++;
   fc_release_snapshot (node->snapshot);
 }
@@ -82,24 +84,24 @@
 announce_version (fd_node_t *node)
 {
   fb_set_counter (node->counters.version, node->version.number);
-  fd_drop_announcers (node);
+  fd_remove_stale_announcers (node);
   fm_set_version (node->members, &node->version);
   fm_announce_version (node->members);
 }
 
-/* The only place where a document comes into force. Takes over SNAPSHOT. */
+/* The only place that changes the document in force. Takes ownership of SNAPSHOT. */
 static void
-put_in_force (fd_node_t *node, fc_snapshot_t *snapshot, const fb_version_t *version)
+apply_snapshot (fd_node_t *node, fc_snapshot_t *snapshot, const fb_version_t *version)
 {
   char text[FB_VERSION_TEXT_MAX];
 
   FB_INVARIANT (fb_compare_versions (version, &node->version) > 0);
   FB_INVARIANT (fc_get_version_number (snapshot) == version->number);
-  keep_earlier (node);
+  push_history (node);
   fd_clear_encodings (node);
   node->snapshot = snapshot;
   node->version = *version;
-  node->fetch.whole = false;
+  node->fetch.full_only = false;
   fb_add_counter (node->counters.applied, 1);
   fb_format_version (version, text, sizeof text);
   FB_LOG (node->log, FB_LOG_INFO, "dist", "version in force", FB_TEXT ("version", text));
@@ -107,30 +109,31 @@
   announce_version (node);
 }
 
-fd_verdict_t
+fd_document_outcome_t
 fd_raise_revision (fd_node_t *node, const fb_version_t *version)
 {
   FB_INVARIANT (is_same_digest (&version->digest, &node->version.digest));
   if (version->number != node->version.number)
     {
       fb_add_counter (node->counters.claim_mismatches, 1);
-      return FD_REFUSED;
+      return FD_DOCUMENT_REFUSED;
     }
   if (version->revision <= node->version.revision)
-    return FD_HELD;
+    return FD_DOCUMENT_UNCHANGED;
   node->version.revision = version->revision;
-  fb_add_counter (node->counters.raised, 1);
+  fb_add_counter (node->counters.revisions_raised, 1);
   announce_version (node);
-  return FD_RAISED;
+  return FD_DOCUMENT_REVISION_RAISED;
 }
 
-/* Judges a document that is neither in force nor refused before. */
-static fd_verdict_t
+/* Checks a document that is neither in force nor refused before, and applies it if it is valid
+ * and newer. */
+static fd_document_outcome_t
 check_document (fd_node_t *node, fb_version_t *version, fb_bytes_t document)
 {
   fc_problems_t *problems = fc_create_problems ();
   fc_snapshot_t *snapshot = fc_check_change (node->snapshot, document, problems);
-  fd_verdict_t verdict = FD_REFUSED;
+  fd_document_outcome_t outcome = FD_DOCUMENT_REFUSED;
 
   if (snapshot == NULL)
     {
@@ -141,46 +144,46 @@
     version->number = fc_get_version_number (snapshot);
   if (version->number != fc_get_version_number (snapshot))
     {
-      refuse_claim (node, version);
+      refuse_claimed_number (node, version);
       goto done;
     }
-  verdict = FD_OLD;
+  outcome = FD_DOCUMENT_STALE;
   if (fb_compare_versions (version, &node->version) <= 0)
     goto done;
-  put_in_force (node, snapshot, version);
+  apply_snapshot (node, snapshot, version);
   snapshot = NULL;
-  verdict = FD_APPLIED;
+  outcome = FD_DOCUMENT_APPLIED;
 
 done:
   fc_release_snapshot (snapshot);
   fc_destroy_problems (problems);
-  return verdict;
+  return outcome;
 }
 
-fd_verdict_t
-fd_judge_document (fd_node_t *node, const fb_version_t *version, fb_bytes_t document)
+fd_document_outcome_t
+fd_apply_document (fd_node_t *node, const fb_version_t *version, fb_bytes_t document)
 {
   fb_digest_t digest = fb_compute_digest (document);
-  fb_version_t judged = *version;
+  fb_version_t actual = *version;
   bool is_claimed = version->number != 0;
 
   if (is_claimed && !is_same_digest (&digest, &version->digest))
     {
       fb_add_counter (node->counters.digest_mismatches, 1);
-      return FD_CORRUPT;
+      return FD_DOCUMENT_CORRUPT;
     }
-  judged.digest = digest;
+  actual.digest = digest;
   if (node->snapshot != NULL && is_same_digest (&digest, &node->version.digest))
     {
       if (!is_claimed)
-        judged.number = node->version.number;
-      return fd_raise_revision (node, &judged);
+        actual.number = node->version.number;
+      return fd_raise_revision (node, &actual);
     }
-  if (fd_is_refused (node, &judged))
-    return FD_REFUSED;
-  if (is_claimed && fb_compare_versions (&judged, &node->version) <= 0)
-    return FD_OLD;
-  return check_document (node, &judged, document);
+  if (fd_is_refused (node, &actual))
+    return FD_DOCUMENT_REFUSED;
+  if (is_claimed && fb_compare_versions (&actual, &node->version) <= 0)
+    return FD_DOCUMENT_STALE;
+  return check_document (node, &actual, document);
 }
 
 bool
--- a/packages/dist/source/dist-fetch.c
+++ b/packages/dist/source/dist-fetch.c
@@ -20,7 +20,7 @@
 }
 
 void
-fd_drop_announcers (fd_node_t *node)
+fd_remove_stale_announcers (fd_node_t *node)
 {
   for (size_t i = node->announcer_count; i > 0; i--)
     {
@@ -32,16 +32,17 @@
     }
 }
 
-/* Returns whether A is to be asked before B: the higher version, then fewer attempts. */
+/* Returns whether A is to be asked before B: the higher version first, then fewer attempts. */
 static bool
-is_better (const fd_announcer_t *a, const fd_announcer_t *b)
+has_priority (const fd_announcer_t *a, const fd_announcer_t *b)
 {
   int order = fb_compare_versions (&a->version, &b->version);
 
-  return order != 0 ? order > 0 : a->tries < b->tries;
+  return order != 0 ? order > 0 : a->attempts < b->attempts;
 }
 
-/* Returns the next announcer to ask, or NULL; drops those that are dead or asked too often. */
+/* Returns the next announcer to fetch from, or NULL; removes those that are dead or have used
+ * up their attempts. */
 static fd_announcer_t *
 choose_announcer (fd_node_t *node, fb_time_t now)
 {
@@ -51,19 +52,20 @@
     {
       const fd_announcer_t *announcer = &node->announcers[i - 1];
       const fw_member_t *member = fm_find_member (node->members, &announcer->id);
-      bool is_due = announcer->tries == 0 || now - announcer->asked_at >= FD_FETCH_TIMEOUT;
+      bool is_due
+          = announcer->attempts == 0 || now - announcer->last_fetch_at >= FD_FETCH_TIMEOUT;
 
       if (member == NULL || member->state == FW_DEAD
-          || (announcer->tries >= FD_FETCH_TRIES && is_due))
+          || (announcer->attempts >= FD_FETCH_ATTEMPTS_MAX && is_due))
         remove_announcer (node, i - 1);
     }
   for (size_t i = 0; i < node->announcer_count; i++)
     {
       fd_announcer_t *announcer = &node->announcers[i];
 
-      if (announcer->tries > 0 && now - announcer->asked_at < FD_FETCH_TIMEOUT)
+      if (announcer->attempts > 0 && now - announcer->last_fetch_at < FD_FETCH_TIMEOUT)
         continue;
-      if (best == NULL || is_better (announcer, best))
+      if (best == NULL || has_priority (announcer, best))
         best = announcer;
     }
   return best;
@@ -81,13 +83,13 @@
   announcer = choose_announcer (node, now);
   if (announcer == NULL)
     return;
-  announcer->tries++;
-  announcer->asked_at = now;
-  message = fd_make_message (node, FW_FETCH, fd_next_request (node));
-  if (!node->fetch.whole)
+  announcer->attempts++;
+  announcer->last_fetch_at = now;
+  message = fd_make_message (node, FW_FETCH, fd_next_request_id (node));
+  if (!node->fetch.full_only)
     message.base_digest = node->version.digest;
   node->fetch.outstanding = true;
-  node->fetch.request = message.request_id;
+  node->fetch.request_id = message.request_id;
   node->fetch.peer = announcer->id;
   node->fetch.deadline = now + FD_FETCH_TIMEOUT;
   fb_add_counter (node->counters.fetches, 1);
@@ -95,7 +97,7 @@
 }
 
 void
-fd_note_announcer (fd_node_t *node, const fb_name_t *id, const fb_version_t *version)
+fd_record_announcer (fd_node_t *node, const fb_name_t *id, const fb_version_t *version)
 {
   fd_announcer_t *announcer = find_announcer (node, id);
 
@@ -110,7 +112,7 @@
           slot = 0;
           for (size_t i = 1; i < node->announcer_count; i++)
             {
-              if (is_better (&node->announcers[slot], &node->announcers[i]))
+              if (has_priority (&node->announcers[slot], &node->announcers[i]))
                 slot = i;
             }
           if (fb_compare_versions (version, &node->announcers[slot].version) <= 0)
@@ -123,49 +125,49 @@
   start_fetch (node);
 }
 
-/* Restores the document in MESSAGE and judges it. */
-static fd_verdict_t
-take_document (fd_node_t *node, const fw_control_t *message)
+/* Decodes the document in MESSAGE and applies it if it is valid and newer. */
+static fd_document_outcome_t
+apply_payload (fd_node_t *node, const fw_control_t *message)
 {
   fb_bytes_t base = { NULL, 0 };
   uint8_t *document = NULL;
   size_t length = 0;
-  fd_verdict_t verdict;
+  fd_document_outcome_t outcome;
 
   if (!fd_is_zero_digest (&message->base_digest)
       && !fd_find_document (node, &message->base_digest, &base))
-    return FD_CORRUPT;
+    return FD_DOCUMENT_CORRUPT;
   if (fc_decode_delta (base, message->payload, &document, &length) != FB_OK)
-    return FD_CORRUPT;
-  verdict = fd_judge_document (node, &message->version, (fb_bytes_t){ document, length });
-  if (verdict == FD_APPLIED)
+    return FD_DOCUMENT_CORRUPT;
+  outcome = fd_apply_document (node, &message->version, (fb_bytes_t){ document, length });
+  if (outcome == FD_DOCUMENT_APPLIED)
     fd_cache_encoding (node, &message->base_digest,
                        g_memdup2 (message->payload.data, message->payload.len),
                        message->payload.len);
   g_free (document);
-  return verdict;
+  return outcome;
 }
 
-/* Takes a document also when the fetch was given up meanwhile: whatever is valid and above the
- * version in force is welcome, and on a slow path only late answers arrive. */
+/* Accepts a document also after its fetch timed out: on a slow path all responses may be late.
+ */
 void
 fd_handle_document (fd_node_t *node, const fw_control_t *message)
 {
-  if (node->fetch.outstanding && message->request_id == node->fetch.request
+  if (node->fetch.outstanding && message->request_id == node->fetch.request_id
       && fb_equal_name (&message->sender, &node->fetch.peer))
     node->fetch.outstanding = false;
   if (message->payload.len > 0 && message->version.number > 0
       && fb_compare_versions (&message->version, &node->version) > 0
       && !fd_is_refused (node, &message->version))
     {
-      fd_verdict_t verdict = take_document (node, message);
+      fd_document_outcome_t outcome = apply_payload (node, message);
 
-      if (verdict == FD_CORRUPT)
+      if (outcome == FD_DOCUMENT_CORRUPT)
         {
-          fb_add_counter (node->counters.bad_messages, 1);
-          node->fetch.whole = true;
+          fb_add_counter (node->counters.invalid_messages, 1);
+          node->fetch.full_only = true;
         }
-      fd_drop_announcers (node);
+      fd_remove_stale_announcers (node);
     }
   start_fetch (node);
 }
--- a/packages/dist/source/dist-join.c
+++ b/packages/dist/source/dist-join.c
@@ -1,8 +1,7 @@
-/* The join of a starting or resumed node: it catches up before it takes calls. */
+/* Join of a starting or resumed node, which catches up before it accepts calls. */
 #include "dist-state.h"
 #include <string.h>
 
-/* Collects the members that may be asked. */
 static bool
 add_candidate (const fw_member_t *member, void *user)
 {
@@ -37,7 +36,7 @@
 }
 
 static bool
-is_asked (const fd_join_t *join, const fb_name_t *id)
+has_peer (const fd_join_t *join, const fb_name_t *id)
 {
   for (size_t i = 0; i < join->peer_count; i++)
     {
@@ -48,18 +47,18 @@
 }
 
 static void
-ask_summary (fd_node_t *node, const fw_member_t *member)
+request_summary (fd_node_t *node, const fw_member_t *member)
 {
-  fw_control_t message = fd_make_message (node, FW_SUMMARY_REQUEST, fd_next_request (node));
+  fw_control_t message = fd_make_message (node, FW_SUMMARY_REQUEST, fd_next_request_id (node));
   fd_join_peer_t *peer = &node->join.peers[node->join.peer_count++];
 
-  *peer = (fd_join_peer_t){ .id = member->id, .request = message.request_id };
+  *peer = (fd_join_peer_t){ .id = member->id, .request_id = message.request_id };
   node->hooks.send (member, &message, node->hooks.user);
 }
 
-/* Returns whether everyone asked is in ZONE. */
+/* Returns whether all members asked so far are in ZONE. */
 static bool
-is_only_zone (const fd_node_t *node, const fb_name_t *zone)
+are_peers_in_zone (const fd_node_t *node, const fb_name_t *zone)
 {
   for (size_t i = 0; i < node->join.peer_count; i++)
     {
@@ -71,10 +70,11 @@
   return true;
 }
 
-/* Asks members from CANDIDATES until 6 are asked, in at least 2 zones if there are members in 2
- * zones: the last place is kept for another zone while all others are in one. */
+/* Sends summary requests to CANDIDATES until FD_JOIN_PEERS members are asked, in at least 2
+ * zones if there are candidates in 2 zones: the last one is reserved for another zone while all
+ * others are in one. */
 static void
-ask_summaries (fd_node_t *node, const GPtrArray *candidates)
+request_summaries (fd_node_t *node, const GPtrArray *candidates)
 {
   fd_join_t *join = &node->join;
 
@@ -85,76 +85,76 @@
           const fw_member_t *member = g_ptr_array_index (candidates, i);
           bool is_last = join->peer_count == FD_JOIN_PEERS - 1;
 
-          if (is_asked (join, &member->id)
-              || (pass == 0 && is_last && is_only_zone (node, &member->zone)))
+          if (has_peer (join, &member->id)
+              || (pass == 0 && is_last && are_peers_in_zone (node, &member->zone)))
             continue;
-          ask_summary (node, member);
+          request_summary (node, member);
         }
     }
 }
 
 static void
-ask_page (fd_node_t *node, fd_walk_t *walk)
+request_page (fd_node_t *node, fd_list_fetch_t *fetch)
 {
-  const fw_member_t *member = fm_find_member (node->members, &walk->id);
-  fw_control_t message = fd_make_message (node, FW_MEMBERS_REQUEST, fd_next_request (node));
+  const fw_member_t *member = fm_find_member (node->members, &fetch->peer_id);
+  fw_control_t message = fd_make_message (node, FW_MEMBERS_REQUEST, fd_next_request_id (node));
 
   if (member == NULL)
     {
-      *walk = (fd_walk_t){ .active = false };
+      *fetch = (fd_list_fetch_t){ .active = false };
       return;
     }
-  message.page = walk->page;
-  walk->request = message.request_id;
-  walk->deadline = fb_read_clock (node->clock) + FD_JOIN_ROUND;
+  message.page = fetch->page;
+  fetch->request_id = message.request_id;
+  fetch->deadline = fb_read_clock (node->clock) + FD_JOIN_ROUND_PERIOD;
   node->hooks.send (member, &message, node->hooks.user);
 }
 
 static bool
-is_walked (const fd_join_t *join, const fb_name_t *id)
+is_fetching_from (const fd_join_t *join, const fb_name_t *id)
 {
-  for (size_t i = 0; i < FD_JOIN_WALKS; i++)
+  for (size_t i = 0; i < FD_JOIN_LIST_FETCHES; i++)
     {
-      if (fb_equal_name (&join->walks[i].id, id))
+      if (fb_equal_name (&join->list_fetches[i].peer_id, id))
         return true;
     }
   return false;
 }
 
-/* Gives each walk without an answer another member; an unfinished walk starts over there,
- * because two lists are not paged alike. */
+/* Starts the list fetches, and starts a fetch whose page was not delivered again with another
+ * member. It begins at the first page, because the pages of two lists do not correspond. */
 static void
-ask_pages (fd_node_t *node, const GPtrArray *candidates)
+start_list_fetches (fd_node_t *node, const GPtrArray *candidates)
 {
   fd_join_t *join = &node->join;
   fb_time_t now = fb_read_clock (node->clock);
 
-  for (size_t i = 0; i < FD_JOIN_WALKS; i++)
+  for (size_t i = 0; i < FD_JOIN_LIST_FETCHES; i++)
     {
-      fd_walk_t *walk = &join->walks[i];
+      fd_list_fetch_t *fetch = &join->list_fetches[i];
 
-      if (walk->id.len > 0 && (!walk->active || now < walk->deadline))
+      if (fetch->peer_id.len > 0 && (!fetch->active || now < fetch->deadline))
         continue;
-      *walk = (fd_walk_t){ .active = false };
+      *fetch = (fd_list_fetch_t){ .active = false };
       for (guint j = 0; j < candidates->len; j++)
         {
           const fw_member_t *member = g_ptr_array_index (candidates, j);
 
-          if (is_walked (join, &member->id))
+          if (is_fetching_from (join, &member->id))
             continue;
-          *walk = (fd_walk_t){ .active = true, .id = member->id };
-          ask_page (node, walk);
+          *fetch = (fd_list_fetch_t){ .active = true, .peer_id = member->id };
+          request_page (node, fetch);
           break;
         }
     }
 }
 
 static void
-drop_silent_peers (fd_join_t *join)
+remove_unresponsive_peers (fd_join_t *join)
 {
   for (size_t i = join->peer_count; i > 0; i--)
     {
-      if (!join->peers[i - 1].answered)
+      if (!join->peers[i - 1].responded)
         join->peers[i - 1] = join->peers[--join->peer_count];
     }
 }
@@ -167,10 +167,11 @@
 
   memset (&node->join, 0, sizeof node->join);
   node->join.started_at = now;
-  node->join.round_at = now;
+  node->join.next_round_at = now;
   node->source.next_at = now;
   if (!node->standalone)
-    node->source.next_at += (fb_time_t)(g_rand_double (node->random) * (double)FD_JOIN_SPREAD);
+    node->source.next_at
+        += (fb_time_t)(g_rand_double (node->random) * (double)FD_JOIN_SOURCE_DELAY_MAX);
   node->ready = false;
   fb_add_counter (node->counters.joins, 1);
   fb_set_counter (node->counters.ready, 0);
@@ -185,11 +186,12 @@
     {
       fd_join_peer_t *peer = &node->join.peers[i];
 
-      if (peer->request != message->request_id || !fb_equal_name (&peer->id, &message->sender))
+      if (peer->request_id != message->request_id
+          || !fb_equal_name (&peer->id, &message->sender))
         continue;
-      peer->answered = true;
+      peer->responded = true;
       peer->ready = message->ready;
-      node->join.peer_answered = true;
+      node->join.peer_responded = true;
     }
 }
 
@@ -199,14 +201,14 @@
   fb_name_t id = peer->id;
 
   fd_check_pause (node);
-  for (size_t i = 0; i < FD_JOIN_WALKS; i++)
+  for (size_t i = 0; i < FD_JOIN_LIST_FETCHES; i++)
     {
-      fd_walk_t *walk = &node->join.walks[i];
+      fd_list_fetch_t *fetch = &node->join.list_fetches[i];
 
-      if (walk->active && fb_read_clock (node->clock) < walk->deadline)
+      if (fetch->active && fb_read_clock (node->clock) < fetch->deadline)
         continue;
-      *walk = (fd_walk_t){ .active = true, .id = id };
-      ask_page (node, walk);
+      *fetch = (fd_list_fetch_t){ .active = true, .peer_id = id };
+      request_page (node, fetch);
       return;
     }
 }
@@ -214,30 +216,30 @@
 void
 fd_handle_join_members (fd_node_t *node, const fw_control_t *message)
 {
-  for (size_t i = 0; i < FD_JOIN_WALKS; i++)
+  for (size_t i = 0; i < FD_JOIN_LIST_FETCHES; i++)
     {
-      fd_walk_t *walk = &node->join.walks[i];
+      fd_list_fetch_t *fetch = &node->join.list_fetches[i];
 
-      if (!walk->active || walk->request != message->request_id
-          || !fb_equal_name (&walk->id, &message->sender))
+      if (!fetch->active || fetch->request_id != message->request_id
+          || !fb_equal_name (&fetch->peer_id, &message->sender))
         continue;
       fm_merge_members (node->members, message->members, message->member_count);
-      walk->page++;
-      if (walk->page < message->page_count)
+      fetch->page++;
+      if (fetch->page < message->page_count)
         {
-          ask_page (node, walk);
+          request_page (node, fetch);
           return;
         }
-      walk->active = false;
-      node->join.listed = true;
+      fetch->active = false;
+      node->join.member_list_received = true;
       return;
     }
 }
 
-/* Questions go out in rounds of 1 s. In each, the places of members that did not answer go to
- * members chosen anew, and members learned meanwhile fill the free places. When nobody answers,
- * the node asks on, reads the source at the pace of its back-off, and stays not ready: a node
- * that is cut off cannot know how old its version is. */
+/* Requests are sent in rounds. Each round replaces members that did not respond by other
+ * candidates and adds members discovered meanwhile. Without any response the node keeps sending
+ * requests, reads the source with back-off and stays not ready: a node that is cut off cannot
+ * know how old its version is. */
 void
 fd_tick_join (fd_node_t *node)
 {
@@ -247,54 +249,54 @@
 
   if (node->ready)
     return;
-  if (now >= join->round_at)
+  if (now >= join->next_round_at)
     {
-      drop_silent_peers (join);
-      join->round_at = now + FD_JOIN_ROUND;
+      remove_unresponsive_peers (join);
+      join->next_round_at = now + FD_JOIN_ROUND_PERIOD;
     }
-  else if (join->peer_count == FD_JOIN_PEERS && (join->walks[0].id.len > 0)
-           && (join->walks[1].id.len > 0))
+  else if (join->peer_count == FD_JOIN_PEERS && (join->list_fetches[0].peer_id.len > 0)
+           && (join->list_fetches[1].peer_id.len > 0))
     return;
   candidates = list_candidates (node);
-  ask_summaries (node, candidates);
-  ask_pages (node, candidates);
+  request_summaries (node, candidates);
+  start_list_fetches (node, candidates);
   g_ptr_array_unref (candidates);
 }
 
-/* Each member asked has answered, at least one of them takes calls, and they were chosen from a
- * whole member list. In a restart of the whole fleet no member takes calls yet and their
- * answers say nothing about newer versions, so the node waits. */
+/* Returns whether every member asked has responded, at least one of them is ready, and they
+ * were chosen from a complete member list. In a restart of the whole fleet no member is ready
+ * and the responses say nothing about newer versions, so the node waits. */
 static bool
-has_all_answers (const fd_node_t *node)
+has_all_responses (const fd_node_t *node)
 {
   const fd_join_t *join = &node->join;
   bool is_ready = false;
 
   if (node->standalone)
-    return join->source_answered;
+    return join->source_responded;
   for (size_t i = 0; i < join->peer_count; i++)
     {
-      if (!join->peers[i].answered)
+      if (!join->peers[i].responded)
         return false;
       is_ready |= join->peers[i].ready;
     }
-  return is_ready && join->listed && join->source_answered;
+  return is_ready && join->member_list_received && join->source_responded;
 }
 
 void
-fd_check_ready (fd_node_t *node)
+fd_update_ready (fd_node_t *node)
 {
   const fd_join_t *join = &node->join;
   fb_time_t waited = fb_read_clock (node->clock) - join->started_at;
 
-  if (node->ready || !node->begun || node->snapshot == NULL)
+  if (node->ready || !node->started || node->snapshot == NULL)
     return;
-  /* A peer holds a higher version: this node may have held it too before it restarted. Peers
-   * that are dead or do not deliver are dropped from the announcers. */
+  /* A peer has a higher version in force, which this node may have applied before it restarted.
+   * Peers that are dead or do not deliver are removed from the announcers. */
   if (node->announcer_count > 0)
     return;
-  if (!has_all_answers (node)
-      && !(waited >= FD_JOIN_WAIT && (join->peer_answered || join->source_answered)))
+  if (!has_all_responses (node)
+      && !(waited >= FD_JOIN_TIMEOUT && (join->peer_responded || join->source_responded)))
     return;
   node->ready = true;
   fb_set_counter (node->counters.ready, 1);
--- a/packages/dist/source/dist-node.c
+++ b/packages/dist/source/dist-node.c
@@ -11,15 +11,15 @@
 }
 
 uint64_t
-fd_next_request (fd_node_t *node)
+fd_next_request_id (fd_node_t *node)
 {
-  return node->next_request++;
+  return node->next_request_id++;
 }
 
 fw_control_t
-fd_make_message (const fd_node_t *node, fw_control_kind_t kind, uint64_t request)
+fd_make_message (const fd_node_t *node, fw_control_kind_t kind, uint64_t request_id)
 {
-  fw_control_t message = { .kind = kind, .request_id = request, .version = node->version };
+  fw_control_t message = { .kind = kind, .request_id = request_id, .version = node->version };
 
   message.sender = fm_get_self (node->members)->id;
   return message;
@@ -29,20 +29,20 @@
 find_counters (fd_counters_t *counters, fb_counters_t *table)
 {
   counters->applied = fb_find_counter (table, "dist_applied", "");
-  counters->raised = fb_find_counter (table, "dist_revision_raised", "");
+  counters->revisions_raised = fb_find_counter (table, "dist_revision_raised", "");
   counters->refused = fb_find_counter (table, "dist_refused", "");
   counters->claim_mismatches = fb_find_counter (table, "dist_claim_mismatches", "");
   counters->digest_mismatches = fb_find_counter (table, "dist_digest_mismatches", "");
-  counters->bad_messages = fb_find_counter (table, "dist_bad_messages", "");
+  counters->invalid_messages = fb_find_counter (table, "dist_bad_messages", "");
   counters->unknown_senders = fb_find_counter (table, "dist_unknown_senders", "");
   counters->source_reads = fb_find_counter (table, "dist_source_reads", "");
   counters->source_failures = fb_find_counter (table, "dist_source_failures", "");
   counters->source_stale = fb_find_counter (table, "dist_source_stale", "");
   counters->fetches = fb_find_counter (table, "dist_fetches", "");
   counters->fetch_timeouts = fb_find_counter (table, "dist_fetch_timeouts", "");
-  counters->served_whole = fb_find_counter (table, "dist_served", "kind=\"whole\"");
+  counters->served_full = fb_find_counter (table, "dist_served", "kind=\"whole\"");
   counters->served_delta = fb_find_counter (table, "dist_served", "kind=\"delta\"");
-  counters->answers_dropped = fb_find_counter (table, "dist_answers_dropped", "");
+  counters->responses_dropped = fb_find_counter (table, "dist_answers_dropped", "");
   counters->pauses = fb_find_counter (table, "dist_pauses", "");
   counters->joins = fb_find_counter (table, "dist_joins", "");
   counters->ready = fb_find_counter (table, "dist_ready", "");
@@ -61,13 +61,14 @@
   node->log = log;
   node->hooks = *hooks;
   node->random = g_rand_new_with_seed (seed);
-  node->next_request = ((uint64_t)g_rand_int (node->random) << 32) + 1;
+  node->next_request_id = ((uint64_t)g_rand_int (node->random) << 32) + 1;
   find_counters (&node->counters, counters);
-  node->answers = fd_make_bucket (FD_ANSWER_RATE, FD_ANSWER_RATE, now);
-  node->pages = fd_make_bucket (FD_PAGE_RATE, FD_PAGE_RATE, now);
-  node->wholes = fd_make_bucket (FD_WHOLE_RATE, FD_WHOLE_RATE, now);
-  node->source.calls = fd_make_bucket (FD_SOURCE_RATE, FD_SOURCE_BURST, now);
-  node->source.reader_at = now - FD_READER_PERIOD;
+  node->response_bucket = fd_make_bucket (FD_RESPONSES_PER_S, FD_RESPONSES_PER_S, now);
+  node->page_bucket = fd_make_bucket (FD_MEMBER_PAGES_PER_S, FD_MEMBER_PAGES_PER_S, now);
+  node->full_document_bucket
+      = fd_make_bucket (FD_FULL_DOCUMENTS_PER_S, FD_FULL_DOCUMENTS_PER_S, now);
+  node->source.call_bucket = fd_make_bucket (FD_SOURCE_CALLS_PER_S, FD_SOURCE_CALL_BURST, now);
+  node->source.reader_checked_at = now - FD_READER_CHECK_PERIOD;
   return node;
 }
 
@@ -91,23 +92,25 @@
 bool
 fd_is_paused (const fd_node_t *node)
 {
-  return node->begun
-         && fb_read_clock (node->clock) - node->ticked_at > FD_TICK_PERIOD + FD_PAUSE_LIMIT;
+  return node->started
+         && fb_read_clock (node->clock) - node->last_tick_at
+                > FD_TICK_PERIOD + FD_PAUSE_THRESHOLD;
 }
 
-/* Runs at each entry point, since a message may be handled before the first tick after a pause.
- */
+/* Called at each entry point, because a message may be handled before the first tick after a
+ * pause. */
 void
 fd_check_pause (fd_node_t *node)
 {
   if (!fd_is_paused (node))
     return;
-  FB_LOG (node->log, FB_LOG_WARNING, "dist", "process was paused",
-          FB_NUMBER ("ms", (fb_read_clock (node->clock) - node->ticked_at) / FB_MILLISECOND));
-  node->ticked_at = fb_read_clock (node->clock);
+  FB_LOG (
+      node->log, FB_LOG_WARNING, "dist", "process was paused",
+      FB_NUMBER ("ms", (fb_read_clock (node->clock) - node->last_tick_at) / FB_MILLISECOND));
+  node->last_tick_at = fb_read_clock (node->clock);
   fb_add_counter (node->counters.pauses, 1);
-  /* Peers may have gone on to a newer version, which a join finds out; without peers the next
-   * answer of the source brings it. */
+  /* Peers may have applied a newer version during the pause, which a join finds out. A
+   * standalone node gets it with the next response of the source. */
   if (node->standalone)
     return;
   fd_start_join (node);
@@ -117,7 +120,7 @@
 void
 fd_handle_summary (fd_node_t *node, const fw_member_t *sender, const fb_version_t *version)
 {
-  /* SENDER may belong to the member table and move when the table changes. */
+  /* SENDER may point into the member table, which may move when it changes. */
   fb_name_t id = sender->id;
 
   fd_check_pause (node);
@@ -127,7 +130,7 @@
       && fb_compare_digests (&version->digest, &node->version.digest) == 0)
     fd_raise_revision (node, version);
   else if (!fd_is_refused (node, version))
-    fd_note_announcer (node, &id, version);
+    fd_record_announcer (node, &id, version);
 }
 
 void
@@ -137,7 +140,8 @@
 
   fd_check_pause (node);
   sender = fm_find_member (node->members, &message->sender);
-  /* A joining node may ask before its first datagram made it known here; it asks again. */
+  /* A joining node may send a request before its first datagram has arrived here; it sends it
+   * again. */
   if (sender == NULL)
     {
       fb_add_counter (node->counters.unknown_senders, 1);
@@ -146,45 +150,45 @@
   switch (message->kind)
     {
     case FW_SUMMARY_REQUEST:
-      fd_answer_summary (node, sender, message);
+      fd_handle_summary_request (node, sender, message);
       break;
     case FW_SUMMARY:
       fd_handle_join_summary (node, message);
       fd_handle_summary (node, sender, &message->version);
       break;
     case FW_FETCH:
-      fd_answer_fetch (node, sender, message);
+      fd_handle_fetch (node, sender, message);
       break;
     case FW_DOCUMENT:
       fd_handle_document (node, message);
       break;
     case FW_MEMBERS_REQUEST:
-      fd_answer_members (node, sender, message);
+      fd_handle_members_request (node, sender, message);
       break;
     case FW_MEMBERS:
       fd_handle_join_members (node, message);
       break;
     default:
-      fb_add_counter (node->counters.bad_messages, 1);
+      fb_add_counter (node->counters.invalid_messages, 1);
     }
-  fd_check_ready (node);
+  fd_update_ready (node);
 }
 
 void
 fd_tick (fd_node_t *node)
 {
-  if (node->begun)
+  if (node->started)
     fd_check_pause (node);
   else
     {
-      node->begun = true;
+      node->started = true;
       fd_start_join (node);
     }
-  node->ticked_at = fb_read_clock (node->clock);
+  node->last_tick_at = fb_read_clock (node->clock);
   fd_tick_join (node);
   fd_tick_source (node);
   fd_tick_fetch (node);
-  fd_check_ready (node);
+  fd_update_ready (node);
 }
 
 bool
@@ -196,7 +200,7 @@
 bool
 fd_is_reader (const fd_node_t *node)
 {
-  return node->source.reader;
+  return node->source.is_reader;
 }
 
 const fb_version_t *
--- a/packages/dist/source/dist-serve.c
+++ b/packages/dist/source/dist-serve.c
@@ -1,4 +1,4 @@
-/* Answers the questions of other nodes within bounded rates. */
+/* Responds to requests of other nodes within bounded rates. */
 #include "dist-state.h"
 #include <foxtailrun/base/invariant.h>
 #include <foxtailrun/config/delta.h>
@@ -27,7 +27,8 @@
 {
   fb_bytes_t document;
 
-  /* The base of a received frame may have left the history when the frame was applied. */
+  /* The base of a received frame may have been removed from the history when the frame was
+   * applied. */
   if (find_encoding (node, base) != NULL
       || (!fd_is_zero_digest (base) && !fd_find_document (node, base, &document)))
     {
@@ -38,7 +39,7 @@
   node->encodings[node->encoding_count++] = (fd_encoding_t){ *base, frame, length };
 }
 
-/* Returns the document in force encoded against BASE, from the cache if it is there. */
+/* Returns the document in force encoded against BASE, from the cache if possible. */
 static const fd_encoding_t *
 encode_document (fd_node_t *node, const fb_digest_t *base)
 {
@@ -57,69 +58,70 @@
 }
 
 static bool
-take_answer (fd_node_t *node, fd_bucket_t *bucket)
+consume_response_token (fd_node_t *node, fd_bucket_t *bucket)
 {
-  if (fd_take_token (bucket, fb_read_clock (node->clock)))
+  if (fd_consume_token (bucket, fb_read_clock (node->clock)))
     return true;
-  fb_add_counter (node->counters.answers_dropped, 1);
+  fb_add_counter (node->counters.responses_dropped, 1);
   return false;
 }
 
 void
-fd_answer_summary (fd_node_t *node, const fw_member_t *to, const fw_control_t *message)
+fd_handle_summary_request (fd_node_t *node, const fw_member_t *to, const fw_control_t *message)
 {
-  fw_control_t answer = fd_make_message (node, FW_SUMMARY, message->request_id);
+  fw_control_t response = fd_make_message (node, FW_SUMMARY, message->request_id);
 
-  if (!take_answer (node, &node->answers))
+  if (!consume_response_token (node, &node->response_bucket))
     return;
-  answer.ready = fd_is_ready (node);
-  node->hooks.send (to, &answer, node->hooks.user);
+  response.ready = fd_is_ready (node);
+  node->hooks.send (to, &response, node->hooks.user);
 }
 
-/* Fills the payload of ANSWER unless there is nothing to send or too many whole documents went
- * out in the last second. */
+/* Sets the payload of RESPONSE, unless there is nothing to send or the rate of full documents
+ * is used up. */
 static void
-fill_document (fd_node_t *node, const fb_digest_t *held, fw_control_t *answer)
+set_payload (fd_node_t *node, const fb_digest_t *requester_digest, fw_control_t *response)
 {
   fb_time_t now = fb_read_clock (node->clock);
   const fd_encoding_t *encoding;
   fb_bytes_t document;
-  fb_digest_t base = *held;
+  fb_digest_t base = *requester_digest;
 
-  if (node->snapshot == NULL || fb_compare_digests (held, &node->version.digest) == 0)
+  if (node->snapshot == NULL
+      || fb_compare_digests (requester_digest, &node->version.digest) == 0)
     return;
-  if (!fd_find_document (node, held, &document))
+  if (!fd_find_document (node, requester_digest, &document))
     base = (fb_digest_t){ { 0 } };
-  if (fd_is_zero_digest (&base) && !fd_has_token (&node->wholes, now))
+  if (fd_is_zero_digest (&base) && !fd_has_token (&node->full_document_bucket, now))
     return;
   encoding = encode_document (node, &base);
-  if (fd_is_zero_digest (&base) || encoding->length > FD_SMALL_FRAME_MAX)
+  if (fd_is_zero_digest (&base) || encoding->length > FD_SMALL_DELTA_MAX)
     {
-      if (!fd_take_token (&node->wholes, now))
+      if (!fd_consume_token (&node->full_document_bucket, now))
         return;
-      fb_add_counter (node->counters.served_whole, 1);
+      fb_add_counter (node->counters.served_full, 1);
     }
   else
     fb_add_counter (node->counters.served_delta, 1);
-  answer->base_digest = base;
-  answer->payload = (fb_bytes_t){ encoding->frame, encoding->length };
+  response->base_digest = base;
+  response->payload = (fb_bytes_t){ encoding->frame, encoding->length };
 }
 
-/* An answer without payload tells the asker at once to try another announcer. */
+/* A response without payload makes the requester try another announcer at once. */
 void
-fd_answer_fetch (fd_node_t *node, const fw_member_t *to, const fw_control_t *message)
+fd_handle_fetch (fd_node_t *node, const fw_member_t *to, const fw_control_t *message)
 {
-  fw_control_t answer = fd_make_message (node, FW_DOCUMENT, message->request_id);
+  fw_control_t response = fd_make_message (node, FW_DOCUMENT, message->request_id);
 
-  if (!take_answer (node, &node->answers))
+  if (!consume_response_token (node, &node->response_bucket))
     return;
-  fill_document (node, &message->base_digest, &answer);
-  node->hooks.send (to, &answer, node->hooks.user);
+  set_payload (node, &message->base_digest, &response);
+  node->hooks.send (to, &response, node->hooks.user);
 }
 
 typedef struct
 {
-  size_t index;
+  size_t visited_count;
   size_t first;
   size_t count;
   fw_member_t members[FW_MEMBERS_PER_PAGE_MAX];
@@ -130,28 +132,28 @@
 {
   page_t *page = user;
 
-  if (page->index >= page->first && page->count < FW_MEMBERS_PER_PAGE_MAX)
+  if (page->visited_count >= page->first && page->count < FW_MEMBERS_PER_PAGE_MAX)
     page->members[page->count++] = *member;
-  page->index++;
+  page->visited_count++;
   return true;
 }
 
 void
-fd_answer_members (fd_node_t *node, const fw_member_t *to, const fw_control_t *message)
+fd_handle_members_request (fd_node_t *node, const fw_member_t *to, const fw_control_t *message)
 {
-  fw_control_t answer = fd_make_message (node, FW_MEMBERS, message->request_id);
+  fw_control_t response = fd_make_message (node, FW_MEMBERS, message->request_id);
   page_t *page;
 
-  if (!take_answer (node, &node->pages))
+  if (!consume_response_token (node, &node->page_bucket))
     return;
   page = g_new0 (page_t, 1);
   page->first = (size_t)message->page * FW_MEMBERS_PER_PAGE_MAX;
   fm_visit_members (node->members, add_to_page, page);
-  answer.page = message->page;
-  answer.page_count
-      = (uint32_t)((page->index + FW_MEMBERS_PER_PAGE_MAX - 1) / FW_MEMBERS_PER_PAGE_MAX);
-  answer.members = page->members;
-  answer.member_count = page->count;
-  node->hooks.send (to, &answer, node->hooks.user);
+  response.page = message->page;
+  response.page_count = (uint32_t)((page->visited_count + FW_MEMBERS_PER_PAGE_MAX - 1)
+                                   / FW_MEMBERS_PER_PAGE_MAX);
+  response.members = page->members;
+  response.member_count = page->count;
+  node->hooks.send (to, &response, node->hooks.user);
   g_free (page);
 }
--- a/packages/dist/tests/test-fleet.c
+++ b/packages/dist/tests/test-fleet.c
@@ -1,6 +1,5 @@
-/* Randomised runs of whole nodes under faults. SEEDS=N runs seeds 1 to N instead of the fixed
- * few, SEED=N only seed N. The invariants are checked by the stand-in fleet after every step.
- */
+/* Random runs of complete nodes under faults. SEEDS=N runs seeds 1 to N instead of the default,
+ * SEED=N only seed N. The stand-in fleet checks the invariants after every step. */
 #include "fleet.h"
 #include <signal.h>
 #include <stdio.h>
@@ -9,13 +8,13 @@
 #include <unistd.h>
 
 #define SEEDS_DEFAULT 40
-#define CHAOS_ACTIONS 40
+#define FAULTS_PER_RUN 40
 
 /* A member that died just before the end of the faults is detected within about 6 s. */
 #define DETECTION_MAX (6 * FB_SECOND)
 
 /* From a publication to the last node. */
-#define SPREAD_MAX (6 * FB_SECOND)
+#define PROPAGATION_MAX (6 * FB_SECOND)
 
 static char seed_text[64];
 
@@ -30,18 +29,18 @@
 {
   sf_fleet_t *fleet;
   GRand *random;
-  uint64_t number; /* last published */
+  uint64_t last_number; /* last published */
   fb_time_t resume_at[SF_HOSTS_MAX];
 } run_t;
 
 static void
 publish_next (run_t *run)
 {
-  sf_publish_document (run->fleet,
-                       sf_make_document (++run->number, g_rand_int (run->random), 3), true);
+  sf_publish_document (
+      run->fleet, sf_make_document (++run->last_number, g_rand_int (run->random), 3), true);
 }
 
-/* The document in force written again: only its revision rises. */
+/* Publishes the current document again, which raises only its revision. */
 static void
 publish_again (run_t *run)
 {
@@ -50,33 +49,33 @@
                          run->fleet->source.valid);
 }
 
-/* Two publishers took the same number; the second write stands. */
+/* Publishes two documents with the same number; the second write wins. */
 static void
 publish_race (run_t *run)
 {
   publish_next (run);
   sf_run_fleet (run->fleet, g_rand_int_range (run->random, 0, 4) * 10 * FB_MILLISECOND);
-  run->number--;
+  run->last_number--;
   publish_next (run);
 }
 
-/* A document that names a service it does not hold, or that is cut short. */
+/* Publishes a document that refers to an undefined service or is truncated. */
 static void
-publish_bad (run_t *run)
+publish_invalid (run_t *run)
 {
-  GBytes *good = sf_make_document (++run->number, g_rand_int (run->random), 3);
+  GBytes *valid = sf_make_document (++run->last_number, g_rand_int (run->random), 3);
   gsize length;
-  const char *text = g_bytes_get_data (good, &length);
-  GString *bad = g_string_new_len (text, (gssize)length);
+  const char *text = g_bytes_get_data (valid, &length);
+  GString *invalid = g_string_new_len (text, (gssize)length);
 
   if (g_rand_boolean (run->random))
-    g_string_append (bad, "[[route]]\nname = \"x\"\npath = \"/x\"\nservice = \"absent\"\n");
+    g_string_append (invalid, "[[route]]\nname = \"x\"\npath = \"/x\"\nservice = \"absent\"\n");
   else
-    g_string_truncate (bad, length - 20);
-  sf_publish_document (run->fleet, g_string_free_to_bytes (bad), false);
-  g_bytes_unref (good);
+    g_string_truncate (invalid, length - 20);
+  sf_publish_document (run->fleet, g_string_free_to_bytes (invalid), false);
+  g_bytes_unref (valid);
   if (g_rand_boolean (run->random))
-    run->number--;
+    run->last_number--;
 }
 
 static void
@@ -88,9 +87,9 @@
     sf_kill_host (run->fleet, index);
 }
 
-/* All processes end at once and start again. */
+/* Restarts all processes at once. */
 static void
-restart_herd (run_t *run)
+restart_fleet (run_t *run)
 {
   for (size_t i = 0; i < run->fleet->count; i++)
     {
@@ -124,12 +123,12 @@
 }
 
 static void
-split_fleet (run_t *run)
+partition_fleet (run_t *run)
 {
-  bool heal = g_rand_boolean (run->random);
+  bool merge = g_rand_boolean (run->random);
 
   for (size_t i = 0; i < run->fleet->count; i++)
-    run->fleet->hosts[i].partition = heal ? 0 : (uint32_t)g_rand_int_range (run->random, 0, 2);
+    run->fleet->hosts[i].partition = merge ? 0 : (uint32_t)g_rand_int_range (run->random, 0, 2);
 }
 
 static void
@@ -155,7 +154,7 @@
 }
 
 static void
-act (run_t *run)
+inject_fault (run_t *run)
 {
   size_t index = (size_t)g_rand_int_range (run->random, 0, (gint32)run->fleet->count);
 
@@ -174,12 +173,12 @@
       break;
     case 5:
     case 6:
-      publish_bad (run);
+      publish_invalid (run);
       break;
     case 7:
     case 8:
       if (g_rand_int_range (run->random, 0, 12) == 0)
-        restart_herd (run);
+        restart_fleet (run);
       else
         kill_or_start (run, index);
       break;
@@ -190,7 +189,7 @@
       change_link (run);
       break;
     case 11:
-      split_fleet (run);
+      partition_fleet (run);
       break;
     default:
       change_source (run);
@@ -198,7 +197,7 @@
 }
 
 static void
-resume_due (run_t *run, bool all)
+resume_hosts (run_t *run, bool all)
 {
   fb_time_t now = fb_read_clock (run->fleet->clock);
 
@@ -219,9 +218,9 @@
   fleet->link = (sf_link_t){ .delay_min = FB_MILLISECOND, .delay_max = 5 * FB_MILLISECOND };
   for (size_t i = 0; i < fleet->count; i++)
     fleet->hosts[i].partition = 0;
-  resume_due (run, true);
+  resume_hosts (run, true);
   sf_restore_source (fleet);
-  /* Without a valid document anywhere no node can become ready. */
+  /* Without a valid document no node can become ready. */
   publish_next (run);
 }
 
@@ -244,11 +243,11 @@
       sf_run_fleet (fleet, SF_STEP);
     }
   sf_print_fleet (fleet);
-  fprintf (stderr, "# no convergence\n");
+  fprintf (stderr, "# fleet did not converge\n");
   abort ();
 }
 
-/* Two readers in each zone, or all when there are fewer. */
+/* Each zone has two readers, or as many as it has running nodes. Returns their number. */
 static size_t
 check_readers (const sf_fleet_t *fleet)
 {
@@ -273,11 +272,11 @@
 
 typedef struct
 {
-  fb_time_t recovery; /* longest from the end of the faults to convergence */
-  fb_time_t spread;   /* longest from a publication to the last node */
+  fb_time_t recovery;    /* longest from the end of the faults to convergence */
+  fb_time_t propagation; /* longest from a publication to the last node */
 
   fb_counters_t *totals;
-} figures_t;
+} measurements_t;
 
 static void
 add_total (const char *name, const char *labels, uint64_t value, void *user)
@@ -286,28 +285,28 @@
 }
 
 static void
-run_seed (uint32_t seed, figures_t *figures)
+run_seed (uint32_t seed, measurements_t *measurements)
 {
   GRand *random = g_rand_new_with_seed (seed);
   size_t count = (size_t)g_rand_int_range (random, 3, SF_HOSTS_MAX + 1);
   run_t run = { .random = random };
   fb_time_t recovery;
-  fb_time_t spread;
+  fb_time_t propagation;
   uint64_t calls;
   size_t readers;
   g_snprintf (seed_text, sizeof seed_text, "# failed with SEED=%u\n", seed);
   run.fleet = sf_create_fleet (seed, count, (size_t)g_rand_int_range (random, 1, 4));
   publish_next (&run);
-  for (int i = 0; i < CHAOS_ACTIONS; i++)
+  for (int i = 0; i < FAULTS_PER_RUN; i++)
     {
-      act (&run);
-      resume_due (&run, false);
+      inject_fault (&run);
+      resume_hosts (&run, false);
       sf_run_fleet (run.fleet, g_rand_int_range (random, 1, 200) * SF_STEP);
     }
   end_faults (&run);
-  recovery = await_convergence (run.fleet, DETECTION_MAX + SPREAD_MAX);
-  figures->recovery = MAX (figures->recovery, recovery);
-  /* Long enough for the membership to settle and for the watches begun meanwhile to end. */
+  recovery = await_convergence (run.fleet, DETECTION_MAX + PROPAGATION_MAX);
+  measurements->recovery = MAX (measurements->recovery, recovery);
+  /* Long enough for the membership to settle and for the watches started before to end. */
   sf_run_fleet (run.fleet, 60 * FB_SECOND);
   readers = check_readers (run.fleet);
   calls = run.fleet->source.calls;
@@ -316,68 +315,70 @@
   g_assert_cmpuint (run.fleet->source.calls - calls, <=,
                     readers * (1 + (30 * FB_SECOND + FD_WATCH_WAIT - 1) / FD_WATCH_WAIT));
   publish_next (&run);
-  spread = await_convergence (run.fleet, SPREAD_MAX);
-  figures->spread = MAX (figures->spread, spread);
+  propagation = await_convergence (run.fleet, PROPAGATION_MAX);
+  measurements->propagation = MAX (measurements->propagation, propagation);
   for (size_t i = 0; i < count; i++)
     sf_kill_host (run.fleet, i);
-  fb_visit_counters (run.fleet->totals, add_total, figures->totals);
+  fb_visit_counters (run.fleet->totals, add_total, measurements->totals);
   sf_destroy_fleet (run.fleet);
   g_rand_free (random);
 }
 
-/* Guards against any order of faults that makes a node revert, apply a document that is not
- * valid or not whole, take calls before it has caught up, call the source too often, or stay
- * behind when the faults are over. */
+/* Guards against any order of faults that makes a node revert, apply an invalid or truncated
+ * document, accept calls before it has caught up, call the source too often, or stay behind
+ * after the faults. */
 static void
 test_random_faults (void)
 {
-  /* Situations that the faults must have brought about. */
-  static const char *const met[]
+  /* Events that the faults must have caused. */
+  static const char *const required_counters[]
       = { "dist_applied",         "dist_revision_raised", "dist_refused",
           "dist_bad_messages",    "dist_source_failures", "dist_source_stale",
           "dist_fetch_timeouts",  "dist_pauses",          "dist_digest_mismatches",
           "dist_claim_mismatches" };
-  const char *seeds = g_getenv ("SEEDS");
-  const char *one = g_getenv ("SEED");
-  uint32_t first = one != NULL ? (uint32_t)g_ascii_strtoull (one, NULL, 10) : 1;
-  uint32_t last = seeds != NULL ? (uint32_t)g_ascii_strtoull (seeds, NULL, 10) : SEEDS_DEFAULT;
-  figures_t figures = { .totals = fb_create_counters () };
+  const char *seed_count = g_getenv ("SEEDS");
+  const char *single_seed = g_getenv ("SEED");
+  uint32_t first = single_seed != NULL ? (uint32_t)g_ascii_strtoull (single_seed, NULL, 10) : 1;
+  uint32_t last
+      = seed_count != NULL ? (uint32_t)g_ascii_strtoull (seed_count, NULL, 10) : SEEDS_DEFAULT;
+  measurements_t measurements = { .totals = fb_create_counters () };
 
   signal (SIGABRT, report_seed);
-  for (uint32_t seed = first; seed <= (one != NULL ? first : last); seed++)
-    run_seed (seed, &figures);
-  g_test_message ("longest recovery %d ms, longest spread %d ms",
-                  (int)(figures.recovery / FB_MILLISECOND),
-                  (int)(figures.spread / FB_MILLISECOND));
-  for (size_t i = 0; i < G_N_ELEMENTS (met); i++)
+  for (uint32_t seed = first; seed <= (single_seed != NULL ? first : last); seed++)
+    run_seed (seed, &measurements);
+  g_test_message ("longest recovery %d ms, longest propagation %d ms",
+                  (int)(measurements.recovery / FB_MILLISECOND),
+                  (int)(measurements.propagation / FB_MILLISECOND));
+  for (size_t i = 0; i < G_N_ELEMENTS (required_counters); i++)
     {
-      uint64_t value = fb_get_counter (fb_find_counter (figures.totals, met[i], ""));
+      uint64_t value
+          = fb_get_counter (fb_find_counter (measurements.totals, required_counters[i], ""));
 
-      g_test_message ("%s %d", met[i], (int)value);
-      g_assert_true (one != NULL || value > 0);
+      g_test_message ("%s %d", required_counters[i], (int)value);
+      g_assert_true (single_seed != NULL || value > 0);
     }
-  fb_destroy_counters (figures.totals);
+  fb_destroy_counters (measurements.totals);
 }
 
-/* Guards against a restart of the whole fleet in which the nodes read the source at one moment,
- * more than once, or all stay as readers because they know nobody yet. */
+/* Guards against a restart of the whole fleet in which the nodes read the source at the same
+ * moment or more than once, or in which all stay readers because they know no other members. */
 static void
-test_herd_reads (void)
+test_restart_reads (void)
 {
   sf_fleet_t *fleet = sf_create_fleet (3, SF_HOSTS_MAX, 3);
-  uint64_t early;
+  uint64_t early_calls;
 
   sf_publish_document (fleet, sf_make_document (1, 1, 3), true);
   sf_run_fleet (fleet, FB_SECOND);
-  early = fleet->source.calls;
-  g_assert_cmpuint (early, >, 0);
-  g_assert_cmpuint (early, <, SF_HOSTS_MAX);
+  early_calls = fleet->source.calls;
+  g_assert_cmpuint (early_calls, >, 0);
+  g_assert_cmpuint (early_calls, <, SF_HOSTS_MAX);
   sf_run_fleet (fleet, 1500 * FB_MILLISECOND);
   g_assert_cmpuint (fleet->source.calls, ==, SF_HOSTS_MAX);
   sf_run_fleet (fleet, 20 * FB_SECOND);
   g_assert_cmpuint (check_readers (fleet), ==, 6);
-  /* For each reader one read at once, one that waits, and one for each wait that ended in the
-   * 17 s or more since the end of its join. */
+  /* Each reader makes one read without a wait, one with a wait, and one for each wait that
+   * ended in the 17 s or more since its join. */
   g_assert_cmpuint (fleet->source.calls, ==,
                     SF_HOSTS_MAX + 6 * (2 + 17 * FB_SECOND / FD_WATCH_WAIT));
   sf_destroy_fleet (fleet);
@@ -387,7 +388,7 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/fleet/herd-reads", test_herd_reads);
+  g_test_add_func ("/fleet/restart-reads", test_restart_reads);
   g_test_add_func ("/fleet/random-faults", test_random_faults);
   return g_test_run ();
 }
