--- a/packages/dist/include/foxtailrun/dist/feed.h
+++ b/packages/dist/include/foxtailrun/dist/feed.h
@@ -1,5 +1,5 @@
-/* Feed of a store that lists endpoints and holds the configuration: when a node reads the store
- * itself, and when it follows another node of its zone that does. */
+/* Feed of a store that lists endpoints and holds the configuration. A node reads the store
+ * itself or follows a node of its zone that does. */
 #ifndef FOXTAILRUN_DIST_FEED_H
 #define FOXTAILRUN_DIST_FEED_H
 
@@ -9,54 +9,52 @@
 #include <foxtailrun/member/listing.h>
 #include <foxtailrun/wire/feed.h>
 
-/* What is read of the store. */
 typedef enum
 {
   FD_READ_ALL,      /* everything, page by page */
-  FD_READ_CHANGES,  /* changes of everything */
-  FD_READ_DOCUMENT, /* the newest configuration alone */
-  FD_READ_ENDPOINTS /* changes of the endpoints alone */
+  FD_READ_CHANGES,  /* changes of endpoints and configuration */
+  FD_READ_DOCUMENT, /* the newest configuration only */
+  FD_READ_ENDPOINTS /* changes of endpoints only */
 } fd_read_kind_t;
 
 typedef struct
 {
   fd_read_kind_t kind;
-  uint64_t after_position; /* position above which changes are wanted */
-  uint32_t wait_ms;        /* how long to wait for a change */
-  const char *after_key;   /* last key of the page before; NULL for the first */
+  uint64_t after_position; /* position after which changes are read */
+  uint32_t wait_ms;        /* how long the store waits for a change */
+  const char *after_key;   /* last key of the previous page; NULL for the first page */
 } fd_read_t;
 
 typedef enum
 {
-  FD_RESULT_COMPLETE,  /* all that was asked for was taken */
+  FD_RESULT_COMPLETE,  /* everything requested was delivered */
   FD_RESULT_HAS_MORE,  /* another page follows */
-  FD_RESULT_COMPACTED, /* the store no longer knows the changes since then */
+  FD_RESULT_COMPACTED, /* the store has compacted the changes after the requested position */
   FD_RESULT_FAILED
 } fd_read_result_kind_t;
 
-/* How a read ended. */
 typedef struct
 {
   fd_read_result_kind_t kind;
-  uint64_t position;    /* of the store at the read */
-  const char *last_key; /* PAGE: last key of it, borrowed */
-  uint32_t http_status; /* FAILED: HTTP status, 0 without an answer */
-  const char *error;    /* FAILED: static, or NULL */
+  uint64_t position;    /* of the store at the time of the read */
+  const char *last_key; /* HAS_MORE: last key of the page, borrowed */
+  uint32_t http_status; /* FAILED: HTTP status, 0 without a response */
+  const char *error;    /* FAILED: static text, or NULL */
 } fd_read_result_t;
 
 typedef struct
 {
-  /* Starts READ, borrowed; what it brings goes to the fd_take functions, then fd_end_read. At
-   * most one read is open. */
+  /* Starts READ, borrowed. The results go to fd_add_endpoint, fd_remove_endpoint and
+   * fd_set_document, then fd_end_read is called. At most one read is outstanding. */
   void (*read) (const fd_read_t *read, void *user);
-  /* Sends ASK, borrowed, to PEER; ends by fd_handle_response or fd_fail_request. At most one
-   * ask is open. */
-  void (*send_request) (const fw_member_t *peer, const fw_feed_message_t *ask, void *user);
-  /* Answers ASKER of fd_handle_request. */
-  void (*send_response) (void *asker, const fw_feed_message_t *news, void *user);
-  /* An endpoint was listed, changed, or is gone (FW_DEAD). */
+  /* Sends REQUEST, borrowed, to PEER; ends by fd_handle_response or fd_fail_request. At most
+   * one request is outstanding. */
+  void (*send_request) (const fw_member_t *peer, const fw_feed_message_t *request, void *user);
+  /* Sends RESPONSE, borrowed, to REQUESTER of fd_handle_request. */
+  void (*send_response) (void *requester, const fw_feed_message_t *response, void *user);
+  /* An endpoint was listed, changed or removed (FW_DEAD). */
   fm_endpoint_fn_t endpoint_changed;
-  /* A newer configuration is there, see fd_get_document. */
+  /* A newer configuration may be available, see fd_get_document. */
   void (*document_changed) (void *user);
   void *user;
 } fd_feed_hooks_t;
@@ -65,56 +63,54 @@
 {
   fb_name_t address; /* of this node */
   fb_name_t zone;
-  fb_time_t poll_interval; /* a node whose knowledge is older reads the store */
+  fb_time_t poll_interval; /* age of the known state at which a node reads the store */
 } fd_feed_options_t;
 
 typedef struct fd_feed fd_feed_t;
 
-/* Creates a feed that reads everything first; RULES and HOOKS are copied, CLOCK, COUNTERS and
- * LOG (may be NULL) are borrowed, SEED starts the random numbers. */
-fd_feed_t *fd_create_feed (const fd_feed_options_t *rules, uint32_t seed,
+/* Creates a feed that starts with a read of everything. OPTIONS and HOOKS are copied, CLOCK,
+ * COUNTERS and LOG (may be NULL) are borrowed, SEED initialises the random numbers. */
+fd_feed_t *fd_create_feed (const fd_feed_options_t *options, uint32_t seed,
                            const fb_clock_t *clock, fb_counters_t *counters, fb_log_t *log,
                            const fd_feed_hooks_t *hooks);
 
-/* Frees the feed; waiting askers get no answer. NULL is allowed. */
+/* Frees the feed; pending requests get no response. NULL is allowed. */
 void fd_destroy_feed (fd_feed_t *feed);
 
-/* Does what is due and returns when to call it next; call it after each of the functions below,
- * too. */
+/* Runs whatever is due and returns the time of the next call. Call it after each of the
+ * functions below, too. */
 fb_time_t fd_run_feed (fd_feed_t *feed);
 
-/* Take what the open read brings, as of POSITION of the store. The text of a document is
- * copied.
- */
+/* Deliver results of the outstanding read as of POSITION of the store. TEXT is copied. */
 void fd_add_endpoint (fd_feed_t *feed, uint64_t position, const fw_endpoint_t *endpoint);
 void fd_remove_endpoint (fd_feed_t *feed, uint64_t position, const fb_name_t *id);
 void fd_set_document (fd_feed_t *feed, uint64_t position, fb_bytes_t text);
 
-/* Ends the open read. */
-void fd_end_read (fd_feed_t *feed, const fd_read_result_t *end);
+/* Ends the outstanding read. */
+void fd_end_read (fd_feed_t *feed, const fd_read_result_t *result);
 
-/* Takes ASK of another node; ASKER is answered now or later, unless fd_cancel_request comes
- * first. */
-void fd_handle_request (fd_feed_t *feed, void *asker, const fw_feed_message_t *ask);
+/* Handles REQUEST of another node. REQUESTER is sent a response now or later, unless
+ * fd_cancel_request is called first. */
+void fd_handle_request (fd_feed_t *feed, void *requester, const fw_feed_message_t *request);
 
-/* ASKER no longer waits. */
-void fd_cancel_request (fd_feed_t *feed, void *asker);
+/* Drops the pending request of REQUESTER. */
+void fd_cancel_request (fd_feed_t *feed, void *requester);
 
-/* Takes the answer to the open ask. */
-void fd_handle_response (fd_feed_t *feed, const fw_feed_message_t *news);
+/* Handles the response to the outstanding request. */
+void fd_handle_response (fd_feed_t *feed, const fw_feed_message_t *response);
 
-/* The open ask ended without an answer, for REASON. */
+/* Ends the outstanding request, which failed for REASON. */
 void fd_fail_request (fd_feed_t *feed, const char *reason);
 
-/* Returns the newest configuration, borrowed, and sets POSITION; empty with POSITION 0 before
- * there is one. */
+/* Returns the newest configuration, borrowed, and sets POSITION to its position; without one
+ * the text is empty and POSITION 0. */
 fb_bytes_t fd_get_document (const fd_feed_t *feed, uint64_t *position);
 
-/* Returns whether everything was read once. */
+/* Returns whether everything has been read once. */
 bool fd_is_synced (const fd_feed_t *feed);
 
-/* Returns the position of the store up to which endpoints are known, and the age in ns of what
- * is known. */
+/* Return the position of the store up to which endpoints are known, and the age in ns of the
+ * known state. */
 uint64_t fd_get_position (const fd_feed_t *feed);
 fb_time_t fd_get_age (const fd_feed_t *feed);
 
--- a/packages/dist/source/dist-feed.c
+++ b/packages/dist/source/dist-feed.c
@@ -1,33 +1,31 @@
-/* When a feed reads the store, and what it takes from a read. */
+/* Schedules the reads of the store and processes their results. */
 #include "feed-state.h"
 #include <string.h>
 
-/* How long a read of changes waits for one; each read is paid for. After a lost answer or a
- * forgotten history this node has no news for so long, and then reads the whole list, which
- * takes up to 1 s on a slow link; both must end within the bound on a change of the
- * configuration. */
-#define WAIT_MS 2000
+/* Wait of a read of changes; the store bills each read. After a lost response or a compacted
+ * history a change is missed for this long, and the full read that follows takes up to 1 s on a
+ * slow link; both must end within the limit for a change of the configuration. */
+#define CHANGE_WAIT_MS 2000
 
-/* The same while other nodes follow this one: each answer tells them that nothing is missing.
- */
-#define FOLLOWED_WAIT_MS 200
+/* The same on a node with followers: each response tells them that they have missed nothing. */
+#define RELAY_CHANGE_WAIT_MS 200
 
-/* Paces after which a node that others follow reads, and after which a node that follows reads
- * itself, for want of news. Between them lies the time in which the relay takes a configuration
- * of 300 KB over a link of 7 Mbit/s, 0.4 s. */
-#define FOLLOWED_PACES 0.6
-#define FOLLOWING_PACES 1.25
+/* Age of the known state, in poll intervals, at which a node with followers reads the store,
+ * and at which a follower without updates reads it itself. The difference leaves a relay 0.4 s
+ * to read a configuration of 300 KB over a link of 7 Mbit/s. */
+#define RELAY_READ_AGE_INTERVALS 0.6
+#define FOLLOWER_READ_AGE_INTERVALS 1.25
 
-/* Bounds of the delay after a failed read: full jitter below a bound that doubles. */
+/* Back-off after a failed read: random below a bound that doubles with each failure. */
 #define BACKOFF_MIN_MS 100
 #define BACKOFF_MAX_MS 1000
 #define BACKOFF_DOUBLINGS 4
 
-/* Period in which removed endpoints are looked at while they may come back. */
-#define SETTLE_PERIOD (200 * FB_MILLISECOND)
+/* Interval of checks on removed endpoints that may be listed again. */
+#define SETTLE_CHECK_PERIOD (200 * FB_MILLISECOND)
 
 static fb_time_t
-read_time (const fd_feed_t *feed)
+get_time (const fd_feed_t *feed)
 {
   return fb_read_clock (feed->clock);
 }
@@ -37,26 +35,26 @@
 {
   feed->reads = fb_find_counter (counters, "source_calls", "");
   feed->read_failures = fb_find_counter (counters, "source_failures", "");
-  feed->news_taken = fb_find_counter (counters, "feed_news", "way=\"taken\"");
-  feed->news_given = fb_find_counter (counters, "feed_news", "way=\"given\"");
-  feed->news_failures = fb_find_counter (counters, "feed_news", "way=\"failed\"");
-  feed->deltas = fb_find_counter (counters, "feed_deltas", "");
+  feed->updates_received = fb_find_counter (counters, "feed_news", "way=\"taken\"");
+  feed->updates_sent = fb_find_counter (counters, "feed_news", "way=\"given\"");
+  feed->request_failures = fb_find_counter (counters, "feed_news", "way=\"failed\"");
+  feed->deltas_applied = fb_find_counter (counters, "feed_deltas", "");
 }
 
 fd_feed_t *
-fd_create_feed (const fd_feed_options_t *rules, uint32_t seed, const fb_clock_t *clock,
+fd_create_feed (const fd_feed_options_t *options, uint32_t seed, const fb_clock_t *clock,
                 fb_counters_t *counters, fb_log_t *log, const fd_feed_hooks_t *hooks)
 {
   fd_feed_t *feed = g_new0 (fd_feed_t, 1);
 
-  feed->rules = *rules;
+  feed->options = *options;
   feed->clock = clock;
   feed->log = log;
   feed->hooks = *hooks;
   feed->random = g_rand_new_with_seed (seed);
   feed->id = ((uint64_t)g_rand_int (feed->random) << 32) + 1;
   feed->listing = fm_create_listing (clock, hooks->endpoint_changed, hooks->user);
-  feed->asks = g_ptr_array_new_with_free_func (g_free);
+  feed->pending_requests = g_ptr_array_new_with_free_func (g_free);
   find_counters (feed, counters);
   return feed;
 }
@@ -66,61 +64,60 @@
 {
   if (!feed)
     return;
-  fd_drop_documents (feed);
+  fd_clear_feed_documents (feed);
   fm_destroy_listing (feed->listing);
-  g_ptr_array_free (feed->asks, TRUE);
+  g_ptr_array_free (feed->pending_requests, TRUE);
   g_rand_free (feed->random);
-  g_free (feed->page);
+  g_free (feed->page_key);
   g_free (feed);
 }
 
-/* Returns the age of its knowledge at which this node reads the store. */
+/* Returns the age of the known state at which this node reads the store. */
 static fb_time_t
-get_pace (const fd_feed_t *feed, fb_time_t now)
+get_read_age (const fd_feed_t *feed, fb_time_t now)
 {
-  double paces = 1;
+  double intervals = 1;
 
-  if (fd_is_followed (feed, now))
-    paces = FOLLOWED_PACES;
-  else if (feed->relay.len > 0)
-    paces = FOLLOWING_PACES;
-  return (fb_time_t)((double)feed->rules.poll_interval * paces);
+  if (fd_has_followers (feed, now))
+    intervals = RELAY_READ_AGE_INTERVALS;
+  else if (feed->relay_address.len > 0)
+    intervals = FOLLOWER_READ_AGE_INTERVALS;
+  return (fb_time_t)((double)feed->options.poll_interval * intervals);
 }
 
-/* Returns when the next read is due. */
 static fb_time_t
-get_read_time (const fd_feed_t *feed, fb_time_t now)
+get_next_read_time (const fd_feed_t *feed, fb_time_t now)
 {
-  if (feed->failures > 0 || feed->kind != FD_READ_CHANGES)
-    return feed->read_at;
-  return feed->fresh + get_pace (feed, now);
+  if (feed->consecutive_failures > 0 || feed->read_kind != FD_READ_CHANGES)
+    return feed->next_read_at;
+  return feed->as_of + get_read_age (feed, now);
 }
 
 static void
 start_read (fd_feed_t *feed, fb_time_t now)
 {
-  fd_read_t read = { .kind = feed->kind, .after_key = feed->page };
+  fd_read_t read = { .kind = feed->read_kind, .after_key = feed->page_key };
 
-  switch (feed->kind)
+  switch (feed->read_kind)
     {
     case FD_READ_CHANGES:
-      read.after_position = MIN (feed->position, feed->seen);
-      read.wait_ms = fd_is_followed (feed, now) ? FOLLOWED_WAIT_MS : WAIT_MS;
+      read.after_position = MIN (feed->position, feed->document_known_position);
+      read.wait_ms = fd_has_followers (feed, now) ? RELAY_CHANGE_WAIT_MS : CHANGE_WAIT_MS;
       break;
     case FD_READ_ENDPOINTS:
       read.after_position = feed->position;
       read.wait_ms = 1;
       break;
     case FD_READ_DOCUMENT:
-      feed->document_started = now;
+      feed->document_read_started_at = now;
       break;
     case FD_READ_ALL:
-      if (!feed->page)
+      if (!feed->page_key)
         fm_begin_full_read (feed->listing);
       break;
     }
-  feed->reading = true;
-  feed->started = now;
+  feed->read_outstanding = true;
+  feed->read_started_at = now;
   feed->documents_read = 0;
   fb_add_counter (feed->reads, 1);
   feed->hooks.read (&read, feed->hooks.user);
@@ -129,207 +126,209 @@
 fb_time_t
 fd_run_feed (fd_feed_t *feed)
 {
-  fb_time_t now = read_time (feed);
+  fb_time_t now = get_time (feed);
   fb_time_t next = now + FB_SECOND;
 
   fm_tick_listing (feed->listing);
-  fd_run_relay (feed, now);
-  if (!feed->reading && now >= get_read_time (feed, now))
+  fd_update_relay (feed, now);
+  if (!feed->read_outstanding && now >= get_next_read_time (feed, now))
     start_read (feed, now);
-  if (!feed->reading)
-    next = MIN (next, get_read_time (feed, now));
-  if (fd_may_ask (feed))
-    next = MIN (next, MAX (feed->ask_at, now));
+  if (!feed->read_outstanding)
+    next = MIN (next, get_next_read_time (feed, now));
+  if (fd_can_request (feed))
+    next = MIN (next, MAX (feed->next_request_at, now));
   if (!fm_is_settled (feed->listing))
-    next = MIN (next, now + SETTLE_PERIOD);
+    next = MIN (next, now + SETTLE_CHECK_PERIOD);
   return next;
 }
 
-/* Returns whether what the open read brings as of POSITION may be older than what news of
- * another node brought meanwhile. */
+/* Returns whether a result of the outstanding read as of POSITION may be older than an update
+ * received from another node meanwhile. */
 static bool
-is_overtaken (const fd_feed_t *feed, uint64_t position)
+is_superseded (const fd_feed_t *feed, uint64_t position)
 {
-  return feed->kind != FD_READ_ALL && position <= feed->position;
+  return feed->read_kind != FD_READ_ALL && position <= feed->position;
 }
 
 void
 fd_add_endpoint (fd_feed_t *feed, uint64_t position, const fw_endpoint_t *endpoint)
 {
-  if (!is_overtaken (feed, position))
+  if (!is_superseded (feed, position))
     fm_add_endpoint (feed->listing, endpoint);
 }
 
 void
 fd_remove_endpoint (fd_feed_t *feed, uint64_t position, const fb_name_t *id)
 {
-  if (!is_overtaken (feed, position))
+  if (!is_superseded (feed, position))
     fm_remove_endpoint (feed->listing, id);
 }
 
 void
 fd_set_document (fd_feed_t *feed, uint64_t position, fb_bytes_t text)
 {
-  if (fd_hold_document (feed, position, text))
+  if (fd_add_document (feed, position, text))
     feed->documents_read++;
 }
 
 static void
-read_next (fd_feed_t *feed, fd_read_kind_t kind)
+schedule_read (fd_feed_t *feed, fd_read_kind_t kind)
 {
-  feed->kind = kind;
-  feed->read_at = 0;
+  feed->read_kind = kind;
+  feed->next_read_at = 0;
 }
 
-/* Chooses the next read. A read of changes brings every version of the configuration since the
- * one before, each as large as the whole. While versions follow each other faster than the
- * reads, as STORM says, only the newest is read, and the endpoints apart. */
+/* Chooses the next read. A read of changes returns every version of the configuration since the
+ * last one, each in full. While versions are published faster than they are read, NEWEST_ONLY
+ * reads only the newest one and the endpoints separately. */
 static void
-read_on (fd_feed_t *feed, bool storm)
+schedule_next_read (fd_feed_t *feed, bool newest_only)
 {
-  read_next (feed, storm ? FD_READ_DOCUMENT : FD_READ_CHANGES);
-  if (storm)
-    feed->read_at = feed->fresh + get_pace (feed, read_time (feed));
+  schedule_read (feed, newest_only ? FD_READ_DOCUMENT : FD_READ_CHANGES);
+  if (newest_only)
+    feed->next_read_at = feed->as_of + get_read_age (feed, get_time (feed));
 }
 
 static void
-end_changes (fd_feed_t *feed, uint64_t position)
+finish_changes (fd_feed_t *feed, uint64_t position)
 {
   feed->position = MAX (feed->position, position);
-  feed->seen = MAX (feed->seen, position);
-  feed->fresh = MAX (feed->fresh, feed->started);
-  feed->completed = read_time (feed);
-  read_on (feed, feed->documents_read > 1 && !fd_is_following (feed, feed->completed));
+  feed->document_known_position = MAX (feed->document_known_position, position);
+  feed->as_of = MAX (feed->as_of, feed->read_started_at);
+  feed->read_completed_at = get_time (feed);
+  schedule_next_read (feed, feed->documents_read > 1
+                                && !fd_is_following (feed, feed->read_completed_at));
 }
 
 static void
-end_endpoints (fd_feed_t *feed, uint64_t position)
+finish_endpoints (fd_feed_t *feed, uint64_t position)
 {
   feed->position = MAX (feed->position, position);
-  feed->fresh = MAX (feed->fresh, feed->document_started);
-  feed->completed = read_time (feed);
-  read_on (feed, feed->document_moved);
+  feed->as_of = MAX (feed->as_of, feed->document_read_started_at);
+  feed->read_completed_at = get_time (feed);
+  schedule_next_read (feed, feed->document_read_changed);
 }
 
 static void
-end_document (fd_feed_t *feed, uint64_t position)
+finish_document (fd_feed_t *feed, uint64_t position)
 {
-  feed->seen = MAX (feed->seen, position);
-  feed->document_moved = feed->documents_read > 0;
-  if (fd_is_following (feed, read_time (feed)))
-    read_next (feed, FD_READ_CHANGES);
+  feed->document_known_position = MAX (feed->document_known_position, position);
+  feed->document_read_changed = feed->documents_read > 0;
+  if (fd_is_following (feed, get_time (feed)))
+    schedule_read (feed, FD_READ_CHANGES);
   else
-    read_next (feed, FD_READ_ENDPOINTS);
+    schedule_read (feed, FD_READ_ENDPOINTS);
 }
 
-/* Changes made while the pages are read come by the read of changes that follows, which starts
- * at the first page's position. */
+/* Changes made during a full read are found by the next read of changes, which starts at the
+ * position of the first page. */
 static void
-end_page (fd_feed_t *feed, const fd_read_result_t *end)
+finish_page (fd_feed_t *feed, const fd_read_result_t *result)
 {
-  char *page = end->kind == FD_RESULT_HAS_MORE ? g_strdup (end->last_key) : NULL;
-
-  if (!feed->page)
-    feed->first = end->position;
-  g_free (feed->page);
-  feed->page = page;
-  read_next (feed, FD_READ_ALL);
-  if (page)
+  char *page_key = result->kind == FD_RESULT_HAS_MORE ? g_strdup (result->last_key) : NULL;
+
+  if (!feed->page_key)
+    feed->first_page_position = result->position;
+  g_free (feed->page_key);
+  feed->page_key = page_key;
+  schedule_read (feed, FD_READ_ALL);
+  if (page_key)
     return;
   fm_end_full_read (feed->listing);
-  feed->listed = true;
-  feed->position = feed->first;
-  feed->seen = feed->first;
-  feed->fresh = feed->started;
-  feed->completed = read_time (feed);
-  feed->kind = FD_READ_CHANGES;
+  feed->synced = true;
+  feed->position = feed->first_page_position;
+  feed->document_known_position = feed->first_page_position;
+  feed->as_of = feed->read_started_at;
+  feed->read_completed_at = get_time (feed);
+  feed->read_kind = FD_READ_CHANGES;
 }
 
 static void
-restart_list (fd_feed_t *feed)
+restart_full_read (fd_feed_t *feed)
 {
-  g_clear_pointer (&feed->page, g_free);
-  read_next (feed, FD_READ_ALL);
+  g_clear_pointer (&feed->page_key, g_free);
+  schedule_read (feed, FD_READ_ALL);
 }
 
 static void
-note_failure (fd_feed_t *feed, const fd_read_result_t *end)
+record_failure (fd_feed_t *feed, const fd_read_result_t *result)
 {
   uint32_t bound = BACKOFF_MAX_MS;
 
-  if (feed->failures < BACKOFF_DOUBLINGS)
-    bound = MIN (bound, (uint32_t)BACKOFF_MIN_MS << feed->failures);
-  if (feed->failures == 0)
-    FB_LOG (feed->log, FB_LOG_WARNING, FD_FEED_LOG, "the store is lost",
-            FB_NUMBER ("status", end->http_status),
-            FB_TEXT ("error", end->error ? end->error : ""),
+  if (feed->consecutive_failures < BACKOFF_DOUBLINGS)
+    bound = MIN (bound, (uint32_t)BACKOFF_MIN_MS << feed->consecutive_failures);
+  if (feed->consecutive_failures == 0)
+    FB_LOG (feed->log, FB_LOG_WARNING, FD_FEED_LOG_SERVICE, "store cannot be read",
+            FB_NUMBER ("status", result->http_status),
+            FB_TEXT ("error", result->error ? result->error : ""),
             FB_NUMBER ("position", feed->position),
             FB_NUMBER ("age_ms", fd_get_age (feed) / FB_MILLISECOND));
-  feed->failures++;
+  feed->consecutive_failures++;
   fb_add_counter (feed->read_failures, 1);
   fm_mark_source_unavailable (feed->listing);
-  feed->read_at = read_time (feed)
-                  + g_rand_int_range (feed->random, BACKOFF_MIN_MS / 2, (gint32)bound + 1)
-                        * FB_MILLISECOND;
-  if (feed->kind == FD_READ_ALL)
-    g_clear_pointer (&feed->page, g_free);
+  feed->next_read_at = get_time (feed)
+                       + g_rand_int_range (feed->random, BACKOFF_MIN_MS / 2, (gint32)bound + 1)
+                             * FB_MILLISECOND;
+  if (feed->read_kind == FD_READ_ALL)
+    g_clear_pointer (&feed->page_key, g_free);
 }
 
 static void
-note_success (fd_feed_t *feed)
+record_success (fd_feed_t *feed)
 {
-  if (feed->failures > 0)
-    FB_LOG (feed->log, FB_LOG_INFO, FD_FEED_LOG, "the store is back",
-            FB_NUMBER ("failures", feed->failures));
-  feed->failures = 0;
+  if (feed->consecutive_failures > 0)
+    FB_LOG (feed->log, FB_LOG_INFO, FD_FEED_LOG_SERVICE, "store can be read again",
+            FB_NUMBER ("failures", feed->consecutive_failures));
+  feed->consecutive_failures = 0;
   fm_mark_source_available (feed->listing);
 }
 
 static void
-take_end (fd_feed_t *feed, const fd_read_result_t *end)
+finish_read (fd_feed_t *feed, const fd_read_result_t *result)
 {
-  switch (feed->kind)
+  switch (feed->read_kind)
     {
     case FD_READ_ALL:
-      end_page (feed, end);
+      finish_page (feed, result);
       break;
     case FD_READ_CHANGES:
-      end_changes (feed, end->position);
+      finish_changes (feed, result->position);
       break;
     case FD_READ_DOCUMENT:
-      end_document (feed, end->position);
+      finish_document (feed, result->position);
       break;
     case FD_READ_ENDPOINTS:
-      end_endpoints (feed, end->position);
+      finish_endpoints (feed, result->position);
       break;
     }
 }
 
 void
-fd_end_read (fd_feed_t *feed, const fd_read_result_t *end)
+fd_end_read (fd_feed_t *feed, const fd_read_result_t *result)
 {
-  feed->reading = false;
-  if (end->kind == FD_RESULT_FAILED)
-    note_failure (feed, end);
+  feed->read_outstanding = false;
+  if (result->kind == FD_RESULT_FAILED)
+    record_failure (feed, result);
   else
-    note_success (feed);
-  if (end->kind == FD_RESULT_COMPACTED)
+    record_success (feed);
+  if (result->kind == FD_RESULT_COMPACTED)
     {
-      FB_LOG (feed->log, FB_LOG_INFO, FD_FEED_LOG, "the store has forgotten the history",
+      FB_LOG (feed->log, FB_LOG_INFO, FD_FEED_LOG_SERVICE,
+              "store history compacted; reading everything again",
               FB_NUMBER ("position", feed->position));
-      restart_list (feed);
+      restart_full_read (feed);
     }
-  else if (end->kind != FD_RESULT_FAILED)
-    take_end (feed, end);
-  fd_answer_asks (feed);
-  if (feed->listed)
+  else if (result->kind != FD_RESULT_FAILED)
+    finish_read (feed, result);
+  fd_respond_to_requests (feed);
+  if (feed->synced)
     feed->hooks.document_changed (feed->hooks.user);
 }
 
 bool
 fd_is_synced (const fd_feed_t *feed)
 {
-  return feed->listed;
+  return feed->synced;
 }
 
 uint64_t
@@ -341,5 +340,5 @@
 fb_time_t
 fd_get_age (const fd_feed_t *feed)
 {
-  return read_time (feed) - feed->fresh;
+  return get_time (feed) - feed->as_of;
 }
--- a/packages/dist/source/feed-document.c
+++ b/packages/dist/source/feed-document.c
@@ -1,4 +1,4 @@
-/* Documents of the configuration that a feed holds, and differences between them. */
+/* Documents of the configuration that a feed stores, and deltas between them. */
 #include "feed-state.h"
 #include <foxtailrun/config/delta.h>
 
@@ -12,26 +12,26 @@
 }
 
 static void
-clear_held (fd_held_t *held)
+clear_document (fd_document_t *document)
 {
-  g_clear_pointer (&held->text, g_bytes_unref);
-  g_clear_pointer (&held->delta, g_bytes_unref);
+  g_clear_pointer (&document->text, g_bytes_unref);
+  g_clear_pointer (&document->delta, g_bytes_unref);
 }
 
 bool
-fd_hold_document (fd_feed_t *feed, uint64_t position, fb_bytes_t text)
+fd_add_document (fd_feed_t *feed, uint64_t position, fb_bytes_t text)
 {
   if (position <= feed->documents[0].position)
     return false;
-  clear_held (&feed->documents[FD_DOCUMENTS_MAX - 1]);
+  clear_document (&feed->documents[FD_DOCUMENTS_MAX - 1]);
   for (size_t i = FD_DOCUMENTS_MAX - 1; i > 0; i--)
     {
       feed->documents[i] = feed->documents[i - 1];
       g_clear_pointer (&feed->documents[i].delta, g_bytes_unref);
     }
-  feed->documents[0] = (fd_held_t){ .position = position,
-                                    .digest = fb_compute_digest (text),
-                                    .text = g_bytes_new (text.data, text.len) };
+  feed->documents[0] = (fd_document_t){ .position = position,
+                                        .digest = fb_compute_digest (text),
+                                        .text = g_bytes_new (text.data, text.len) };
   return true;
 }
 
@@ -40,20 +40,20 @@
 {
   for (size_t i = 1; i < FD_DOCUMENTS_MAX; i++)
     {
-      fd_held_t *held = &feed->documents[i];
+      fd_document_t *document = &feed->documents[i];
       size_t len;
       uint8_t *frame;
 
-      if (!held->text || held->position != position)
+      if (!document->text || document->position != position)
         continue;
-      if (!held->delta)
+      if (!document->delta)
         {
-          frame = fc_encode_delta (view_bytes (held->text),
+          frame = fc_encode_delta (view_bytes (document->text),
                                    view_bytes (feed->documents[0].text), &len);
-          held->delta = g_bytes_new_take (frame, len);
+          document->delta = g_bytes_new_take (frame, len);
         }
-      if (g_bytes_get_size (held->delta) <= FW_DELTA_MAX)
-        return view_bytes (held->delta);
+      if (g_bytes_get_size (document->delta) <= FW_DELTA_MAX)
+        return view_bytes (document->delta);
     }
   return (fb_bytes_t){ NULL, 0 };
 }
@@ -71,16 +71,16 @@
   found = fb_compute_digest ((fb_bytes_t){ text, len });
   same = fb_compare_digests (&found, digest) == 0;
   if (same)
-    fd_hold_document (feed, position, (fb_bytes_t){ text, len });
+    fd_add_document (feed, position, (fb_bytes_t){ text, len });
   g_free (text);
   return same;
 }
 
 void
-fd_drop_documents (fd_feed_t *feed)
+fd_clear_feed_documents (fd_feed_t *feed)
 {
   for (size_t i = 0; i < FD_DOCUMENTS_MAX; i++)
-    clear_held (&feed->documents[i]);
+    clear_document (&feed->documents[i]);
 }
 
 fb_bytes_t
--- a/packages/dist/source/feed-relay.c
+++ b/packages/dist/source/feed-relay.c
@@ -1,52 +1,54 @@
-/* Following: of the nodes of a zone a few read the store, and the others ask one of them. The
- * readers are those with the highest rendezvous weights; a node that is asked reads, whatever
- * it thinks of its own place. */
+/* Following another node. In each zone the nodes with the highest rendezvous weights read the
+ * store, and each other node requests updates from one of them, its relay. A node that receives
+ * requests reads the store whatever its own weight is. */
 #include "feed-state.h"
 #include <string.h>
 
-/* Nodes that follow one reader. Each asks once or twice a second, and a message costs a host of
- * a tenth of a core about a thousandth of its time. */
-#define FOLLOWERS_MAX 40
+/* Each follower sends one or two requests a second, and a message takes a host with a tenth of
+ * a core about a thousandth of its time. */
+#define FOLLOWERS_PER_READER 40
 
-/* Places beyond the readers that a node turns to when those do not answer. */
-#define SPARE_PLACES 2
-#define PLACES_MAX 128 /* room for the readers of a zone of 5,000 nodes */
+/* Candidates after the readers that a node may follow when readers do not respond. */
+#define SPARE_RELAYS 2
+#define CANDIDATES_MAX 128 /* enough for the readers of a zone of 5,000 nodes */
 
-/* Time for which a relay that did not answer well is left aside. */
-#define AVOID_TIME (2 * FB_SECOND)
+/* Time for which a relay is not chosen again after a failed request. */
+#define RELAY_AVOID_TIME (2 * FB_SECOND)
 
-/* Time between two choices while there is nobody to follow. */
-#define CHOICE_PERIOD FB_SECOND
+/* Time between two choices of a relay while none is available. */
+#define RELAY_CHOICE_PERIOD FB_SECOND
 
-/* Pause after a relay had no news to vouch for, before the next one is asked. */
-#define ASK_PAUSE (100 * FB_MILLISECOND)
+/* Delay between a failed request and the request to the next relay. */
+#define RELAY_RETRY_DELAY (100 * FB_MILLISECOND)
 
-/* Paces for which a node goes on reading after it was last asked. */
-#define MEMORY_PACES 3
+/* Poll intervals for which a node counts as followed after the last request it received. */
+#define FOLLOWED_INTERVALS 3
 
 static fb_time_t
-read_time (const fd_feed_t *feed)
+get_time (const fd_feed_t *feed)
 {
   return fb_read_clock (feed->clock);
 }
 
 bool
-fd_is_followed (const fd_feed_t *feed, fb_time_t now)
+fd_has_followers (const fd_feed_t *feed, fb_time_t now)
 {
-  return now < feed->asked_until;
+  return now < feed->followed_until;
 }
 
 bool
 fd_is_following (const fd_feed_t *feed, fb_time_t now)
 {
-  return feed->relay.len > 0 && now < feed->news_fresh + 2 * feed->rules.poll_interval;
+  return feed->relay_address.len > 0
+         && now < feed->relay_as_of + 2 * feed->options.poll_interval;
 }
 
 static bool
 is_avoided (const fd_feed_t *feed, const fb_name_t *address, fb_time_t now)
 {
-  for (size_t i = 0; i < FD_AVOIDED_MAX; i++)
-    if (now < feed->avoided[i].until && fb_equal_name (&feed->avoided[i].address, address))
+  for (size_t i = 0; i < FD_AVOIDED_RELAYS_MAX; i++)
+    if (now < feed->avoided_relays[i].avoid_until
+        && fb_equal_name (&feed->avoided_relays[i].address, address))
       return true;
   return false;
 }
@@ -54,25 +56,25 @@
 static void
 avoid_relay (fd_feed_t *feed, fb_time_t now)
 {
-  feed->avoided[feed->next_avoided++ % FD_AVOIDED_MAX]
-      = (fd_avoided_t){ feed->relay, now + AVOID_TIME };
+  feed->avoided_relays[feed->next_avoided_relay++ % FD_AVOIDED_RELAYS_MAX]
+      = (fd_avoided_relay_t){ feed->relay_address, now + RELAY_AVOID_TIME };
 }
 
-/* Nodes of the zone by their weight. */
+/* Nodes of the zone, ranked by weight. */
 typedef struct
 {
   const fd_feed_t *feed;
-  const fw_member_t *places[PLACES_MAX]; /* of the listing; the highest weight first */
-  uint64_t weights[PLACES_MAX];
-  size_t count; /* of places that are taken */
-  size_t nodes; /* of the zone */
+  const fw_member_t *candidates[CANDIDATES_MAX]; /* of the listing; the highest weight first */
+  uint64_t weights[CANDIDATES_MAX];
+  size_t candidate_count;
+  size_t node_count; /* of the zone */
 } ranking_t;
 
 static bool
 is_ranked (const ranking_t *ranking, const fb_name_t *address)
 {
-  for (size_t i = 0; i < ranking->count; i++)
-    if (fb_equal_name (&ranking->places[i]->address, address))
+  for (size_t i = 0; i < ranking->candidate_count; i++)
+    if (fb_equal_name (&ranking->candidates[i]->address, address))
       return true;
   return false;
 }
@@ -82,46 +84,47 @@
 {
   ranking_t *ranking = user;
   const fw_member_t *member = &endpoint->member;
-  const fd_feed_options_t *rules = &ranking->feed->rules;
+  const fd_feed_options_t *options = &ranking->feed->options;
   uint64_t weight;
-  size_t place;
+  size_t index;
 
-  if (member->state != FW_ALIVE || !fb_equal_name (&member->zone, &rules->zone)
+  if (member->state != FW_ALIVE || !fb_equal_name (&member->zone, &options->zone)
       || is_ranked (ranking, &member->address))
     return;
-  ranking->nodes++;
+  ranking->node_count++;
   weight
-      = fb_get_rendezvous_weight (fb_get_name (&rules->zone), fb_get_name (&member->address));
-  for (place = ranking->count; place > 0 && ranking->weights[place - 1] < weight; place--)
+      = fb_get_rendezvous_weight (fb_get_name (&options->zone), fb_get_name (&member->address));
+  for (index = ranking->candidate_count; index > 0 && ranking->weights[index - 1] < weight;
+       index--)
     {
-      if (place == PLACES_MAX)
+      if (index == CANDIDATES_MAX)
         continue;
-      ranking->places[place] = ranking->places[place - 1];
-      ranking->weights[place] = ranking->weights[place - 1];
+      ranking->candidates[index] = ranking->candidates[index - 1];
+      ranking->weights[index] = ranking->weights[index - 1];
     }
-  if (place == PLACES_MAX)
+  if (index == CANDIDATES_MAX)
     return;
-  ranking->places[place] = member;
-  ranking->weights[place] = weight;
-  ranking->count = MIN (ranking->count + 1, PLACES_MAX);
+  ranking->candidates[index] = member;
+  ranking->weights[index] = weight;
+  ranking->candidate_count = MIN (ranking->candidate_count + 1, CANDIDATES_MAX);
 }
 
-/* Returns the node to follow, in RANKING, or NULL when this one is to read itself. */
+/* Returns the node in RANKING to follow, or NULL when this node should read the store. */
 static const fw_member_t *
-choose_place (const fd_feed_t *feed, const ranking_t *ranking, fb_time_t now)
+choose_relay (const fd_feed_t *feed, const ranking_t *ranking, fb_time_t now)
 {
-  size_t readers = 1 + ranking->nodes / FOLLOWERS_MAX;
-  size_t places = MIN (readers + SPARE_PLACES, ranking->count);
-  size_t first = fb_hash_str (fb_get_name (&feed->rules.address), 0) % readers;
+  size_t readers = 1 + ranking->node_count / FOLLOWERS_PER_READER;
+  size_t candidates = MIN (readers + SPARE_RELAYS, ranking->candidate_count);
+  size_t first = fb_hash_str (fb_get_name (&feed->options.address), 0) % readers;
 
-  for (size_t i = 0; i < readers && i < ranking->count; i++)
-    if (fb_equal_name (&ranking->places[i]->address, &feed->rules.address))
+  for (size_t i = 0; i < readers && i < ranking->candidate_count; i++)
+    if (fb_equal_name (&ranking->candidates[i]->address, &feed->options.address))
       return NULL;
-  for (size_t i = 0; i < places; i++)
+  for (size_t i = 0; i < candidates; i++)
     {
-      const fw_member_t *member = ranking->places[(first + i) % places];
+      const fw_member_t *member = ranking->candidates[(first + i) % candidates];
 
-      if (!fb_equal_name (&member->address, &feed->rules.address)
+      if (!fb_equal_name (&member->address, &feed->options.address)
           && !is_avoided (feed, &member->address, now))
         return member;
     }
@@ -129,267 +132,272 @@
 }
 
 static void
-follow (fd_feed_t *feed, const fb_name_t *address, const char *reason, fb_time_t now)
+set_relay (fd_feed_t *feed, const fb_name_t *address, const char *reason, fb_time_t now)
 {
-  if (fb_equal_name (&feed->relay, address))
+  if (fb_equal_name (&feed->relay_address, address))
     return;
-  feed->relay = *address;
-  FB_LOG (feed->log, FB_LOG_INFO, FD_FEED_LOG,
-          address->len > 0 ? "following another node" : "reading the store",
+  feed->relay_address = *address;
+  FB_LOG (feed->log, FB_LOG_INFO, FD_FEED_LOG_SERVICE,
+          address->len > 0 ? "following a relay" : "reading the store directly",
           FB_TEXT ("relay", address->data), FB_TEXT ("reason", reason),
           FB_NUMBER ("position", feed->position),
-          FB_NUMBER ("age_ms", (now - feed->fresh) / FB_MILLISECOND));
+          FB_NUMBER ("age_ms", (now - feed->as_of) / FB_MILLISECOND));
 }
 
 static void
-send_ask (fd_feed_t *feed, const fw_member_t *peer, fb_time_t now)
+send_request (fd_feed_t *feed, const fw_member_t *peer, fb_time_t now)
 {
-  fw_feed_message_t ask
-      = { .kind = FW_FEED_REQUEST,
-          .feed_id = feed->relay_id,
-          .sequence = feed->relay_sequence,
-          .position = feed->position,
-          .document_position = MAX (feed->documents[0].position, feed->wanted) };
-
-  feed->asking = true;
-  feed->asked = now;
-  feed->hooks.send_request (peer, &ask, feed->hooks.user);
+  fw_feed_message_t request = { .kind = FW_FEED_REQUEST,
+                                .feed_id = feed->relay_feed_id,
+                                .sequence = feed->relay_sequence,
+                                .position = feed->position,
+                                .document_position = MAX (feed->documents[0].position,
+                                                          feed->announced_document_position) };
+
+  feed->request_outstanding = true;
+  feed->request_sent_at = now;
+  feed->hooks.send_request (peer, &request, feed->hooks.user);
 }
 
 bool
-fd_may_ask (const fd_feed_t *feed)
+fd_can_request (const fd_feed_t *feed)
 {
-  return feed->listed && feed->kind != FD_READ_ALL && !feed->asking;
+  return feed->synced && feed->read_kind != FD_READ_ALL && !feed->request_outstanding;
 }
 
 void
-fd_run_relay (fd_feed_t *feed, fb_time_t now)
+fd_update_relay (fd_feed_t *feed, fb_time_t now)
 {
-  static const fb_name_t none;
+  static const fb_name_t no_relay;
   ranking_t ranking = { .feed = feed };
-  const fw_member_t *place;
+  const fw_member_t *relay;
 
-  if (!fd_may_ask (feed) || now < feed->ask_at)
+  if (!fd_can_request (feed) || now < feed->next_request_at)
     return;
-  feed->ask_at = now + CHOICE_PERIOD;
-  if (fd_is_followed (feed, now))
+  feed->next_request_at = now + RELAY_CHOICE_PERIOD;
+  if (fd_has_followers (feed, now))
     {
-      follow (feed, &none, "other nodes follow this one", now);
+      set_relay (feed, &no_relay, "other nodes follow this one", now);
       return;
     }
   fm_visit_changes (feed->listing, 0, rank_endpoint, &ranking);
-  place = choose_place (feed, &ranking, now);
-  if (place)
+  relay = choose_relay (feed, &ranking, now);
+  if (relay)
     {
-      follow (feed, &place->address, "a reader of the zone", now);
-      send_ask (feed, place, now);
+      set_relay (feed, &relay->address, "a reader of the zone", now);
+      send_request (feed, relay, now);
     }
   else
-    follow (feed, &none, "nobody to follow", now);
+    set_relay (feed, &no_relay, "no relay available", now);
 }
 
-/* Leaves the relay aside, so that the next choice is another one. */
+/* Records a failed request, so that the next choice is another relay. */
 static void
-leave_relay (fd_feed_t *feed, const char *reason)
+handle_relay_failure (fd_feed_t *feed, const char *reason)
 {
-  fb_time_t now = read_time (feed);
+  fb_time_t now = get_time (feed);
 
-  fb_add_counter (feed->news_failures, 1);
-  FB_LOG (feed->log, FB_LOG_INFO, FD_FEED_LOG, "no news of another node",
-          FB_TEXT ("relay", feed->relay.data), FB_TEXT ("reason", reason),
+  fb_add_counter (feed->request_failures, 1);
+  FB_LOG (feed->log, FB_LOG_INFO, FD_FEED_LOG_SERVICE, "request to relay failed",
+          FB_TEXT ("relay", feed->relay_address.data), FB_TEXT ("reason", reason),
           FB_NUMBER ("position", feed->position),
-          FB_NUMBER ("age_ms", (now - feed->fresh) / FB_MILLISECOND));
+          FB_NUMBER ("age_ms", (now - feed->as_of) / FB_MILLISECOND));
   avoid_relay (feed, now);
-  feed->ask_at = now + ASK_PAUSE;
+  feed->next_request_at = now + RELAY_RETRY_DELAY;
 }
 
 static void
-take_endpoints (fd_feed_t *feed, const fw_feed_message_t *news)
+apply_endpoints (fd_feed_t *feed, const fw_feed_message_t *update)
 {
-  if (news->complete)
+  if (update->complete)
     fm_begin_full_read (feed->listing);
-  for (size_t i = 0; i < news->endpoint_count; i++)
+  for (size_t i = 0; i < update->endpoint_count; i++)
     {
-      const fw_endpoint_t *endpoint = &news->endpoints[i];
+      const fw_endpoint_t *endpoint = &update->endpoints[i];
 
       if (endpoint->member.state == FW_DEAD)
         fm_remove_endpoint (feed->listing, &endpoint->member.id);
       else
         fm_add_endpoint (feed->listing, endpoint);
     }
-  if (news->complete)
+  if (update->complete)
     fm_end_full_read (feed->listing);
 }
 
-/* Takes over the configuration that NEWS tells of, or lets it be read of the store. */
+/* Applies the configuration delta in UPDATE, or schedules a read of the configuration. */
 static void
-take_document (fd_feed_t *feed, const fw_feed_message_t *news)
+update_document (fd_feed_t *feed, const fw_feed_message_t *update)
 {
-  if (news->document_position > feed->documents[0].position)
+  if (update->document_position > feed->documents[0].position)
     {
-      if (news->delta.len > 0
-          && fd_apply_delta (feed, news->document_position, &news->digest, news->delta))
-        fb_add_counter (feed->deltas, 1);
+      if (update->delta.len > 0
+          && fd_apply_delta (feed, update->document_position, &update->digest, update->delta))
+        fb_add_counter (feed->deltas_applied, 1);
       else
         {
-          feed->wanted = MAX (feed->wanted, news->document_position);
-          if (!feed->reading)
+          feed->announced_document_position
+              = MAX (feed->announced_document_position, update->document_position);
+          if (!feed->read_outstanding)
             {
-              feed->kind = FD_READ_DOCUMENT;
-              feed->read_at = 0;
+              feed->read_kind = FD_READ_DOCUMENT;
+              feed->next_read_at = 0;
             }
           return;
         }
     }
-  feed->seen = MAX (feed->seen, news->position);
+  feed->document_known_position = MAX (feed->document_known_position, update->position);
 }
 
-/* Returns when what NEWS tells was known to be whole, in this node's time: what the ask did not
- * spend at the sender it may have spent on the way back. */
+/* Returns, by this node's clock, the time as of which UPDATE is complete. The part of the round
+ * trip that the request did not wait at the sender counts as the way back, the worst case. */
 static fb_time_t
-get_fresh_time (const fd_feed_t *feed, const fw_feed_message_t *news, fb_time_t now)
+get_as_of (const fd_feed_t *feed, const fw_feed_message_t *update, fb_time_t now)
 {
-  fb_time_t way = now - feed->asked - (fb_time_t)news->request_wait_us * FB_MICROSECOND;
+  fb_time_t return_time
+      = now - feed->request_sent_at - (fb_time_t)update->request_wait_us * FB_MICROSECOND;
 
-  return now - (fb_time_t)news->age_us * FB_MICROSECOND - MAX (way, 0);
+  return now - (fb_time_t)update->age_us * FB_MICROSECOND - MAX (return_time, 0);
 }
 
 static void
-take_news (fd_feed_t *feed, const fw_feed_message_t *news, fb_time_t now)
+apply_update (fd_feed_t *feed, const fw_feed_message_t *update, fb_time_t now)
 {
   fm_mark_source_available (feed->listing);
-  feed->failures = 0;
-  if (!feed->reading)
-    feed->kind = FD_READ_CHANGES;
-  take_endpoints (feed, news);
-  feed->position = news->position;
-  feed->relay_id = news->feed_id;
-  feed->relay_sequence = news->sequence;
-  feed->news_fresh = get_fresh_time (feed, news, now);
-  feed->fresh = MAX (feed->fresh, feed->news_fresh);
-  take_document (feed, news);
-  fb_add_counter (feed->news_taken, 1);
+  feed->consecutive_failures = 0;
+  if (!feed->read_outstanding)
+    feed->read_kind = FD_READ_CHANGES;
+  apply_endpoints (feed, update);
+  feed->position = update->position;
+  feed->relay_feed_id = update->feed_id;
+  feed->relay_sequence = update->sequence;
+  feed->relay_as_of = get_as_of (feed, update, now);
+  feed->as_of = MAX (feed->as_of, feed->relay_as_of);
+  update_document (feed, update);
+  fb_add_counter (feed->updates_received, 1);
   feed->hooks.document_changed (feed->hooks.user);
 }
 
 void
-fd_handle_response (fd_feed_t *feed, const fw_feed_message_t *news)
+fd_handle_response (fd_feed_t *feed, const fw_feed_message_t *response)
 {
-  fb_time_t now = read_time (feed);
+  fb_time_t now = get_time (feed);
 
-  feed->asking = false;
-  if (news->kind != FW_FEED_UPDATE)
+  feed->request_outstanding = false;
+  if (response->kind != FW_FEED_UPDATE)
     {
-      leave_relay (feed, "it does not read the store");
+      handle_relay_failure (feed, "relay has no current state of the store");
       return;
     }
-  feed->ask_at = now;
-  /* A list that is being read anew, or a read of the store that was faster, goes first. */
-  if (feed->kind != FD_READ_ALL && news->position >= feed->position)
-    take_news (feed, news, now);
+  feed->next_request_at = now;
+  /* A full read, or a read of the store with a higher position, supersedes the update. */
+  if (feed->read_kind != FD_READ_ALL && response->position >= feed->position)
+    apply_update (feed, response, now);
 }
 
 void
 fd_fail_request (fd_feed_t *feed, const char *reason)
 {
-  feed->asking = false;
-  leave_relay (feed, reason);
+  feed->request_outstanding = false;
+  handle_relay_failure (feed, reason);
 }
 
-/* Returns whether this node knows all that the store holds, and no decision is open. */
+/* Returns whether this node knows the current state of the store, and no removed endpoint may
+ * still be listed again. */
 static bool
-can_vouch (const fd_feed_t *feed, fb_time_t now)
+is_up_to_date (const fd_feed_t *feed, fb_time_t now)
 {
-  return feed->listed && feed->kind != FD_READ_ALL && feed->failures == 0
-         && fm_is_settled (feed->listing) && now < feed->fresh + 2 * feed->rules.poll_interval;
+  return feed->synced && feed->read_kind != FD_READ_ALL && feed->consecutive_failures == 0
+         && fm_is_settled (feed->listing)
+         && now < feed->as_of + 2 * feed->options.poll_interval;
 }
 
 static void
-add_endpoint (const fw_endpoint_t *endpoint, void *user)
+append_endpoint (const fw_endpoint_t *endpoint, void *user)
 {
   g_array_append_val ((GArray *)user, *endpoint);
 }
 
 static void
-give_news (fd_feed_t *feed, const fd_asked_t *asked, fb_time_t now)
+send_update (fd_feed_t *feed, const fd_pending_request_t *pending, fb_time_t now)
 {
   GArray *endpoints = g_array_new (FALSE, FALSE, sizeof (fw_endpoint_t));
-  fw_feed_message_t news
+  fw_feed_message_t update
       = { .kind = FW_FEED_UPDATE,
           .feed_id = feed->id,
           .sequence = fm_get_sequence (feed->listing),
           .position = feed->position,
           .document_position = feed->documents[0].position,
           .digest = feed->documents[0].digest,
-          .age_us = (uint64_t)((now - feed->fresh) / FB_MICROSECOND),
-          .request_wait_us = (uint64_t)((now - asked->arrived) / FB_MICROSECOND) };
-
-  news.complete
-      = asked->ask.feed_id != feed->id
-        || !fm_visit_changes (feed->listing, asked->ask.sequence, add_endpoint, endpoints);
-  if (news.complete)
-    fm_visit_changes (feed->listing, 0, add_endpoint, endpoints);
-  news.endpoint_count = MIN (endpoints->len, FW_ENDPOINTS_MAX);
-  news.endpoints = (fw_endpoint_t *)(void *)endpoints->data;
-  if (asked->ask.document_position < news.document_position)
-    news.delta = fd_find_delta (feed, asked->ask.document_position);
-  fb_add_counter (feed->news_given, 1);
-  feed->hooks.send_response (asked->asker, &news, feed->hooks.user);
+          .age_us = (uint64_t)((now - feed->as_of) / FB_MICROSECOND),
+          .request_wait_us = (uint64_t)((now - pending->arrived_at) / FB_MICROSECOND) };
+
+  update.complete = pending->message.feed_id != feed->id
+                    || !fm_visit_changes (feed->listing, pending->message.sequence,
+                                          append_endpoint, endpoints);
+  if (update.complete)
+    fm_visit_changes (feed->listing, 0, append_endpoint, endpoints);
+  update.endpoint_count = MIN (endpoints->len, FW_ENDPOINTS_MAX);
+  update.endpoints = (fw_endpoint_t *)(void *)endpoints->data;
+  if (pending->message.document_position < update.document_position)
+    update.delta = fd_find_delta (feed, pending->message.document_position);
+  fb_add_counter (feed->updates_sent, 1);
+  feed->hooks.send_response (pending->requester, &update, feed->hooks.user);
   g_array_free (endpoints, TRUE);
 }
 
-/* Returns whether ASKED can be answered: something is new, or a read since then has shown that
- * nothing is. */
+/* Returns whether PENDING can be responded to: there is a change, or a read that ended after
+ * its arrival has shown that there is none. */
 static bool
-is_answerable (const fd_feed_t *feed, const fd_asked_t *asked, fb_time_t now)
+can_respond (const fd_feed_t *feed, const fd_pending_request_t *pending, fb_time_t now)
 {
-  const fw_feed_message_t *ask = &asked->ask;
+  const fw_feed_message_t *request = &pending->message;
 
-  if (feed->position < ask->position || now >= feed->fresh + feed->rules.poll_interval)
+  if (feed->position < request->position || now >= feed->as_of + feed->options.poll_interval)
     return false;
-  return ask->feed_id != feed->id || ask->sequence != fm_get_sequence (feed->listing)
-         || ask->document_position < feed->documents[0].position
-         || feed->completed > asked->arrived;
+  return request->feed_id != feed->id || request->sequence != fm_get_sequence (feed->listing)
+         || request->document_position < feed->documents[0].position
+         || feed->read_completed_at > pending->arrived_at;
 }
 
 void
-fd_answer_asks (fd_feed_t *feed)
+fd_respond_to_requests (fd_feed_t *feed)
 {
-  fb_time_t now = read_time (feed);
-  bool good = can_vouch (feed, now);
-  fw_feed_message_t none = { .kind = FW_FEED_UNAVAILABLE };
+  fb_time_t now = get_time (feed);
+  bool up_to_date = is_up_to_date (feed, now);
+  fw_feed_message_t unavailable = { .kind = FW_FEED_UNAVAILABLE };
 
-  for (guint i = feed->asks->len; i > 0; i--)
+  for (guint i = feed->pending_requests->len; i > 0; i--)
     {
-      fd_asked_t *asked = g_ptr_array_index (feed->asks, i - 1);
+      fd_pending_request_t *pending = g_ptr_array_index (feed->pending_requests, i - 1);
 
-      if (good && !is_answerable (feed, asked, now))
+      if (up_to_date && !can_respond (feed, pending, now))
         continue;
-      if (good)
-        give_news (feed, asked, now);
+      if (up_to_date)
+        send_update (feed, pending, now);
       else
-        feed->hooks.send_response (asked->asker, &none, feed->hooks.user);
-      g_ptr_array_remove_index_fast (feed->asks, i - 1);
+        feed->hooks.send_response (pending->requester, &unavailable, feed->hooks.user);
+      g_ptr_array_remove_index_fast (feed->pending_requests, i - 1);
     }
 }
 
 void
-fd_handle_request (fd_feed_t *feed, void *asker, const fw_feed_message_t *ask)
+fd_handle_request (fd_feed_t *feed, void *requester, const fw_feed_message_t *request)
 {
-  fd_asked_t *asked = g_new0 (fd_asked_t, 1);
-  fb_time_t now = read_time (feed);
-
-  *asked = (fd_asked_t){ asker, *ask, now };
-  asked->ask.endpoints = NULL;
-  g_ptr_array_add (feed->asks, asked);
-  feed->asked_until = now + MEMORY_PACES * feed->rules.poll_interval;
-  fd_answer_asks (feed);
+  fd_pending_request_t *pending = g_new0 (fd_pending_request_t, 1);
+  fb_time_t now = get_time (feed);
+
+  *pending = (fd_pending_request_t){ requester, *request, now };
+  pending->message.endpoints = NULL;
+  g_ptr_array_add (feed->pending_requests, pending);
+  feed->followed_until = now + FOLLOWED_INTERVALS * feed->options.poll_interval;
+  fd_respond_to_requests (feed);
 }
 
 void
-fd_cancel_request (fd_feed_t *feed, void *asker)
+fd_cancel_request (fd_feed_t *feed, void *requester)
 {
-  for (guint i = feed->asks->len; i > 0; i--)
-    if (((fd_asked_t *)g_ptr_array_index (feed->asks, i - 1))->asker == asker)
-      g_ptr_array_remove_index_fast (feed->asks, i - 1);
+  for (guint i = feed->pending_requests->len; i > 0; i--)
+    if (((fd_pending_request_t *)g_ptr_array_index (feed->pending_requests, i - 1))->requester
+        == requester)
+      g_ptr_array_remove_index_fast (feed->pending_requests, i - 1);
 }
--- a/packages/dist/source/feed-state.h
+++ b/packages/dist/source/feed-state.h
@@ -5,42 +5,41 @@
 #include <foxtailrun/dist/feed.h>
 #include <glib.h>
 
-/* Name of the feed's log lines. */
-#define FD_FEED_LOG "source"
+#define FD_FEED_LOG_SERVICE "source"
 
-/* Documents held, the newest included: bases of differences for nodes that follow. */
+/* Documents stored, the newest included, as bases of deltas for followers. */
 #define FD_DOCUMENTS_MAX 4
 
-/* Relays left aside at one time. */
-#define FD_AVOIDED_MAX 8
+/* Relays avoided at one time. */
+#define FD_AVOIDED_RELAYS_MAX 8
 
-/* A document of the configuration. */
+/* A version of the configuration. */
 typedef struct
 {
   uint64_t position;
   fb_digest_t digest;
   GBytes *text;
-  GBytes *delta; /* makes the newest document of this one; NULL before it was needed */
-} fd_held_t;
+  GBytes *delta; /* from this document to the newest; NULL until needed */
+} fd_document_t;
 
-/* A relay that did not answer well. */
+/* A relay that failed a request. */
 typedef struct
 {
   fb_name_t address;
-  fb_time_t until;
-} fd_avoided_t;
+  fb_time_t avoid_until;
+} fd_avoided_relay_t;
 
-/* An ask of another node that waits. */
+/* A request of another node that waits for a change. */
 typedef struct
 {
-  void *asker;
-  fw_feed_message_t ask;
-  fb_time_t arrived;
-} fd_asked_t;
+  void *requester;
+  fw_feed_message_t message;
+  fb_time_t arrived_at;
+} fd_pending_request_t;
 
 struct fd_feed
 {
-  fd_feed_options_t rules;
+  fd_feed_options_t options;
   const fb_clock_t *clock;
   fb_log_t *log;
   fd_feed_hooks_t hooks;
@@ -49,80 +48,80 @@
   uint64_t id; /* random, to tell the feeds of two processes apart */
 
   /* Reads of the store. */
-  fd_read_kind_t kind; /* of the open or next read */
-  bool reading;
-  bool listed;                /* everything was read once */
-  uint32_t documents_read;    /* new ones that the open or last read brought */
-  bool document_moved;        /* the last read of the configuration alone brought a new one */
-  fb_time_t read_at;          /* of the next read, where it does not follow from the age */
-  fb_time_t started;          /* of the open or last read */
-  fb_time_t document_started; /* of the last read of the configuration alone */
-  fb_time_t fresh;            /* everything is known as of then */
-  uint32_t failures;          /* of reads, in a row */
-  char *page;                 /* last key of the page before, in a list of several pages */
-  uint64_t first;             /* position of the first page of the list being read */
-  uint64_t position;          /* up to which endpoints are known */
-  uint64_t seen;              /* the same of the configuration */
-  uint64_t wanted;            /* position of a document that another node holds */
-  fd_held_t documents[FD_DOCUMENTS_MAX]; /* newest first */
+  fd_read_kind_t read_kind; /* of the outstanding or next read */
+  bool read_outstanding;
+  bool synced;                /* everything was read once */
+  uint32_t documents_read;    /* by the outstanding or last read */
+  bool document_read_changed; /* the last read of the configuration alone found a new one */
+  fb_time_t next_read_at;     /* unless it follows from the age of the known state */
+  fb_time_t read_started_at;  /* of the outstanding or last read */
+  fb_time_t document_read_started_at; /* of the last read of the configuration alone */
+  fb_time_t as_of;                    /* everything is known as of this time */
+  uint32_t consecutive_failures;      /* of reads */
+  char *page_key; /* last key of the previous page, in a full read of several pages */
+  uint64_t first_page_position;              /* of the full read */
+  uint64_t position;                         /* up to which endpoints are known */
+  uint64_t document_known_position;          /* up to which the configuration is known */
+  uint64_t announced_document_position;      /* of a document that another node has */
+  fd_document_t documents[FD_DOCUMENTS_MAX]; /* newest first */
 
   /* Following another node. */
-  fb_name_t relay; /* address; empty while this node reads itself */
-  bool asking;
-  fb_time_t asked;      /* when the open ask was sent */
-  fb_time_t ask_at;     /* of the next ask, or of the next choice of a relay */
-  fb_time_t news_fresh; /* everything was known as of then by the last news */
-  uint64_t relay_id;    /* feed whose changes RELAY_SEQUENCE counts */
+  fb_name_t relay_address; /* empty while this node reads the store */
+  bool request_outstanding;
+  fb_time_t request_sent_at; /* the outstanding one */
+  fb_time_t next_request_at; /* or when a relay is chosen next */
+  fb_time_t relay_as_of;     /* AS_OF of the last update received */
+  uint64_t relay_feed_id;    /* feed whose changes RELAY_SEQUENCE counts */
   uint64_t relay_sequence;
-  fd_avoided_t avoided[FD_AVOIDED_MAX];
-  size_t next_avoided;
+  fd_avoided_relay_t avoided_relays[FD_AVOIDED_RELAYS_MAX];
+  size_t next_avoided_relay;
 
   /* Nodes that follow this one. */
-  fb_time_t asked_until; /* until then others follow this node */
-  fb_time_t completed;   /* when the last read of changes was whole */
-  GPtrArray *asks;       /* fd_asked_t that wait */
+  fb_time_t followed_until;    /* this node counts as followed until then */
+  fb_time_t read_completed_at; /* end of the last complete read */
+  GPtrArray *pending_requests; /* fd_pending_request_t */
 
   fb_counter_t *reads;
   fb_counter_t *read_failures;
-  fb_counter_t *news_taken;
-  fb_counter_t *news_given;
-  fb_counter_t *news_failures;
-  fb_counter_t *deltas;
+  fb_counter_t *updates_received;
+  fb_counter_t *updates_sent;
+  fb_counter_t *request_failures;
+  fb_counter_t *deltas_applied;
 };
 
 /* feed-document.c */
 
-/* Takes TEXT as the newest document unless one of POSITION or above is held; returns whether it
- * was taken. */
-bool fd_hold_document (fd_feed_t *feed, uint64_t position, fb_bytes_t text);
+/* Adds TEXT, copied, as the newest document; returns false when one of POSITION or above is
+ * stored already. */
+bool fd_add_document (fd_feed_t *feed, uint64_t position, fb_bytes_t text);
 
-/* Returns the difference from the document of POSITION to the newest one, borrowed; empty when
- * that is not held or the difference is too large to be passed on. */
+/* Returns the delta from the document of POSITION to the newest one, borrowed; empty when that
+ * document is not stored or the delta is too large to be sent. */
 fb_bytes_t fd_find_delta (fd_feed_t *feed, uint64_t position);
 
-/* Makes the document of POSITION with DIGEST from the newest one and DELTA and takes it;
- * returns whether that is held then. */
+/* Decodes DELTA against the newest document and adds the result as the document of POSITION;
+ * returns false unless the result has DIGEST. */
 bool fd_apply_delta (fd_feed_t *feed, uint64_t position, const fb_digest_t *digest,
                      fb_bytes_t delta);
 
 /* Frees the documents. */
-void fd_drop_documents (fd_feed_t *feed);
+void fd_clear_feed_documents (fd_feed_t *feed);
 
 /* feed-relay.c */
 
-/* Chooses the node to follow anew when that is due, and asks it for news. */
-void fd_run_relay (fd_feed_t *feed, fb_time_t now);
+/* Chooses the relay and sends it a request, when due. */
+void fd_update_relay (fd_feed_t *feed, fb_time_t now);
 
-/* Returns whether an ask may be sent: everything was read, and no ask is open. */
-bool fd_may_ask (const fd_feed_t *feed);
+/* Returns whether a request may be sent: everything was read, and no request is outstanding. */
+bool fd_can_request (const fd_feed_t *feed);
 
-/* Returns whether another node tells this one what is new. */
+/* Returns whether another node supplies this one with updates. */
 bool fd_is_following (const fd_feed_t *feed, fb_time_t now);
 
 /* Returns whether other nodes follow this one. */
-bool fd_is_followed (const fd_feed_t *feed, fb_time_t now);
+bool fd_has_followers (const fd_feed_t *feed, fb_time_t now);
 
-/* Answers the asks that need not wait any longer. */
-void fd_answer_asks (fd_feed_t *feed);
+/* Responds to the pending requests that need not wait any longer. */
+void fd_respond_to_requests (fd_feed_t *feed);
 
 #endif
--- a/packages/dist/tests/fixture-feed.c
+++ b/packages/dist/tests/fixture-feed.c
@@ -3,35 +3,34 @@
 
 #define STEP (5 * FB_MILLISECOND)
 
-/* Time of a read of the store, and of a message between two nodes. */
-#define READ_TIME (10 * FB_MILLISECOND)
-#define MESSAGE_TIME (5 * FB_MILLISECOND)
+/* Duration of a read of the store, and of a message between two nodes. */
+#define READ_DURATION (10 * FB_MILLISECOND)
+#define MESSAGE_DELAY (5 * FB_MILLISECOND)
 
-/* Time after which an ask without an answer is given up. */
-#define ASK_TIME (FEED_PACE * 3 / 2)
+#define REQUEST_TIMEOUT (FEED_POLL_INTERVAL * 3 / 2)
 
-/* Period in which each instance writes its entry. */
-#define BEAT_STEPS 200
+/* Period in which each instance writes its entry, in steps. */
+#define ENTRY_WRITE_STEPS 200
 
 typedef struct
 {
   fleet_t *fleet;
   size_t number;
-  feed_trouble_t trouble;
+  feed_fault_t fault;
   fd_feed_t *feed;
   fb_time_t run_at;
-  fw_member_state_t known[FEED_NODES_MAX];
-  /* The open read. */
-  bool reading;
+  fw_member_state_t known_states[FEED_NODES_MAX];
+  /* The outstanding read. */
+  bool read_outstanding;
   fd_read_t read;
-  fb_time_t read_end;
-  /* The open ask. */
-  size_t relay; /* FEED_NODES_MAX before the first */
-  bool asking;
-  fb_time_t asked;
-  fb_time_t answer_at;
-  uint8_t *answer;
-  size_t answer_len;
+  fb_time_t read_end_at;
+  /* The outstanding request. */
+  size_t relay; /* FEED_NODES_MAX before the first request */
+  bool request_outstanding;
+  fb_time_t request_sent_at;
+  fb_time_t response_at;
+  uint8_t *response;
+  size_t response_len;
 } node_t;
 
 typedef struct
@@ -48,8 +47,8 @@
   node_t nodes[FEED_NODES_MAX];
   entry_t entries[FEED_NODES_MAX];
   uint64_t position;
-  uint64_t oldest; /* reads of changes from before find them forgotten */
-  bool good;
+  uint64_t compacted_position; /* changes before this position are compacted */
+  bool store_available;
   char *text;
   uint64_t text_position;
   uint64_t steps;
@@ -84,10 +83,10 @@
 {
   node_t *node = user;
 
-  g_assert_false (node->reading);
-  node->reading = true;
+  g_assert_false (node->read_outstanding);
+  node->read_outstanding = true;
   node->read = *read;
-  node->read_end = fb_read_clock (node->fleet->clock) + READ_TIME;
+  node->read_end_at = fb_read_clock (node->fleet->clock) + READ_DURATION;
   node->fleet->reads++;
   node->fleet->document_reads += read->kind == FD_READ_DOCUMENT;
 }
@@ -106,49 +105,49 @@
 }
 
 static void
-set_answer (node_t *node, const fw_feed_message_t *news)
+set_response (node_t *node, const fw_feed_message_t *message)
 {
-  node->answer = fw_encode_feed (news, &node->answer_len);
-  node->answer_at = fb_read_clock (node->fleet->clock) + MESSAGE_TIME;
+  node->response = fw_encode_feed (message, &node->response_len);
+  node->response_at = fb_read_clock (node->fleet->clock) + MESSAGE_DELAY;
 }
 
 static void
-send_ask (const fw_member_t *peer, const fw_feed_message_t *ask, void *user)
+send_request (const fw_member_t *peer, const fw_feed_message_t *request, void *user)
 {
   node_t *node = user;
   node_t *relay = find_peer (node->fleet, &peer->address);
 
-  g_assert_false (node->asking);
+  g_assert_false (node->request_outstanding);
   g_assert_true (relay != node);
-  node->asking = true;
-  node->asked = fb_read_clock (node->fleet->clock);
+  node->request_outstanding = true;
+  node->request_sent_at = fb_read_clock (node->fleet->clock);
   node->relay = relay->number;
-  if (relay->trouble == FEED_DEAD)
-    node->asked -= ASK_TIME;
-  else if (relay->trouble != FEED_SILENT)
+  if (relay->fault == FEED_REFUSING)
+    node->request_sent_at -= REQUEST_TIMEOUT;
+  else if (relay->fault != FEED_UNRESPONSIVE)
     {
-      fd_handle_request (relay->feed, node, ask);
+      fd_handle_request (relay->feed, node, request);
       relay->run_at = 0;
     }
 }
 
 static void
-take_answer (void *asker, const fw_feed_message_t *news, void *user)
+receive_response (void *requester, const fw_feed_message_t *message, void *user)
 {
-  node_t *node = asker;
+  node_t *node = requester;
   const node_t *relay = user;
 
-  if (node->asking && node->relay == relay->number && !node->answer)
-    set_answer (node, news);
+  if (node->request_outstanding && node->relay == relay->number && !node->response)
+    set_response (node, message);
 }
 
 static void
-note_endpoint (const fw_endpoint_t *endpoint, void *user)
+record_endpoint (const fw_endpoint_t *endpoint, void *user)
 {
   node_t *node = user;
   size_t number = (size_t)g_ascii_strtoull (endpoint->member.id.data + 2, NULL, 10);
 
-  node->known[number] = endpoint->member.state;
+  node->known_states[number] = endpoint->member.state;
 }
 
 static void
@@ -156,9 +155,9 @@
 {
 }
 
-/* Brings NODE the entries written after POSITION, the removed ones only as CHANGES. */
+/* Delivers the entries written after POSITION to NODE; removed ones only WITH_REMOVED. */
 static void
-bring_entries (node_t *node, uint64_t position, bool changes)
+deliver_entries (node_t *node, uint64_t position, bool with_removed)
 {
   fleet_t *fleet = node->fleet;
 
@@ -171,13 +170,13 @@
         continue;
       if (entry->state != FW_DEAD)
         fd_add_endpoint (node->feed, entry->position, &endpoint);
-      else if (changes)
+      else if (with_removed)
         fd_remove_endpoint (node->feed, entry->position, &endpoint.member.id);
     }
 }
 
 static void
-bring_document (node_t *node)
+deliver_document (node_t *node)
 {
   const fleet_t *fleet = node->fleet;
 
@@ -189,50 +188,50 @@
 end_read (node_t *node)
 {
   fleet_t *fleet = node->fleet;
-  fd_read_result_t end = { .kind = FD_RESULT_COMPLETE, .position = fleet->position };
+  fd_read_result_t result = { .kind = FD_RESULT_COMPLETE, .position = fleet->position };
   const fd_read_t *read = &node->read;
 
-  node->reading = false;
-  if (!fleet->good || node->trouble == FEED_AWAY)
-    end.kind = FD_RESULT_FAILED;
+  node->read_outstanding = false;
+  if (!fleet->store_available || node->fault == FEED_STORE_UNREACHABLE)
+    result.kind = FD_RESULT_FAILED;
   else if (read->kind == FD_READ_DOCUMENT)
-    bring_document (node);
+    deliver_document (node);
   else if (read->kind == FD_READ_ALL)
     {
-      bring_entries (node, 0, false);
-      bring_document (node);
+      deliver_entries (node, 0, false);
+      deliver_document (node);
     }
-  else if (read->after_position < fleet->oldest)
-    end.kind = FD_RESULT_COMPACTED;
+  else if (read->after_position < fleet->compacted_position)
+    result.kind = FD_RESULT_COMPACTED;
   else
     {
-      bring_entries (node, read->after_position, true);
+      deliver_entries (node, read->after_position, true);
       if (read->kind == FD_READ_CHANGES && fleet->text_position > read->after_position)
-        bring_document (node);
+        deliver_document (node);
     }
-  fd_end_read (node->feed, &end);
+  fd_end_read (node->feed, &result);
 }
 
 static void
-end_ask (node_t *node)
+end_request (node_t *node)
 {
-  fw_feed_message_t news;
-  uint8_t *answer = node->answer;
+  fw_feed_message_t message;
+  uint8_t *response = node->response;
 
-  node->asking = false;
-  node->answer = NULL;
-  if (answer)
+  node->request_outstanding = false;
+  node->response = NULL;
+  if (response)
     {
-      g_assert_cmpint (fw_decode_feed ((fb_bytes_t){ answer, node->answer_len }, &news), ==,
-                       FB_OK);
-      fd_handle_response (node->feed, &news);
-      fw_clear_feed (&news);
-      g_free (answer);
+      g_assert_cmpint (fw_decode_feed ((fb_bytes_t){ response, node->response_len }, &message),
+                       ==, FB_OK);
+      fd_handle_response (node->feed, &message);
+      fw_clear_feed (&message);
+      g_free (response);
     }
   else
     {
       fd_cancel_request (node->fleet->nodes[node->relay].feed, node);
-      fd_fail_request (node->feed, "no answer");
+      fd_fail_request (node->feed, "no response");
     }
 }
 
@@ -241,16 +240,18 @@
 {
   fb_time_t now = fb_read_clock (node->fleet->clock);
 
-  if (node->trouble == FEED_SILENT || node->trouble == FEED_DEAD)
+  if (node->fault == FEED_UNRESPONSIVE || node->fault == FEED_REFUSING)
     return;
-  if (node->reading && now >= node->read_end)
+  if (node->read_outstanding && now >= node->read_end_at)
     {
       end_read (node);
       node->run_at = 0;
     }
-  if (node->asking && (node->answer ? now >= node->answer_at : now - node->asked >= ASK_TIME))
+  if (node->request_outstanding
+      && (node->response ? now >= node->response_at
+                         : now - node->request_sent_at >= REQUEST_TIMEOUT))
     {
-      end_ask (node);
+      end_request (node);
       node->run_at = 0;
     }
   if (now >= node->run_at)
@@ -258,20 +259,20 @@
 }
 
 static void
-beat (fleet_t *fleet)
+rewrite_entries (fleet_t *fleet)
 {
   for (size_t i = 0; i < fleet->count; i++)
-    if (fleet->entries[i].state != FW_DEAD && (fleet->steps + i * 7) % BEAT_STEPS == 0)
+    if (fleet->entries[i].state != FW_DEAD && (fleet->steps + i * 7) % ENTRY_WRITE_STEPS == 0)
       fleet->entries[i].position = ++fleet->position;
 }
 
 void
-feed_pass (fleet_t *fleet, fb_time_t time)
+feed_advance (fleet_t *fleet, fb_time_t time)
 {
   for (; time > 0; time -= STEP)
     {
       fleet->steps++;
-      beat (fleet);
+      rewrite_entries (fleet);
       for (size_t i = 0; i < fleet->count; i++)
         step_node (&fleet->nodes[i]);
       fb_advance_clock (fleet->clock, STEP);
@@ -286,28 +287,28 @@
   fleet->clock = fb_create_manual_clock (1000 * FB_SECOND);
   fleet->counters = fb_create_counters ();
   fleet->count = count;
-  fleet->good = true;
+  fleet->store_available = true;
   feed_publish (fleet, "first");
   for (size_t i = 0; i < count; i++)
-    feed_enter (fleet, i, FW_ALIVE);
+    feed_set_entry (fleet, i, FW_ALIVE);
   for (size_t i = 0; i < count; i++)
     {
       node_t *node = &fleet->nodes[i];
-      fd_feed_options_t rules = { .address = make_name ("10.0.0.", i),
-                                  .zone = make_name ("zone-", i % FEED_ZONES),
-                                  .poll_interval = FEED_PACE };
-      fd_feed_hooks_t hooks
-          = { start_read, send_ask, take_answer, note_endpoint, ignore_document, node };
+      fd_feed_options_t options = { .address = make_name ("10.0.0.", i),
+                                    .zone = make_name ("zone-", i % FEED_ZONES),
+                                    .poll_interval = FEED_POLL_INTERVAL };
+      fd_feed_hooks_t hooks = { start_read,      send_request,    receive_response,
+                                record_endpoint, ignore_document, node };
 
       node->fleet = fleet;
       node->number = i;
       node->relay = FEED_NODES_MAX;
       for (size_t j = 0; j < FEED_NODES_MAX; j++)
-        node->known[j] = FW_DEAD;
-      node->feed = fd_create_feed (&rules, seed + (uint32_t)i, fleet->clock, fleet->counters,
+        node->known_states[j] = FW_DEAD;
+      node->feed = fd_create_feed (&options, seed + (uint32_t)i, fleet->clock, fleet->counters,
                                    NULL, &hooks);
     }
-  feed_pass (fleet, FB_SECOND);
+  feed_advance (fleet, FB_SECOND);
   return fleet;
 }
 
@@ -317,7 +318,7 @@
   for (size_t i = 0; i < fleet->count; i++)
     {
       fd_destroy_feed (fleet->nodes[i].feed);
-      g_free (fleet->nodes[i].answer);
+      g_free (fleet->nodes[i].response);
     }
   fb_destroy_counters (fleet->counters);
   fb_destroy_clock (fleet->clock);
@@ -326,26 +327,26 @@
 }
 
 void
-feed_trouble (fleet_t *fleet, size_t node, feed_trouble_t trouble)
+feed_set_fault (fleet_t *fleet, size_t node, feed_fault_t fault)
 {
-  fleet->nodes[node].trouble = trouble;
+  fleet->nodes[node].fault = fault;
   fleet->nodes[node].run_at = 0;
 }
 
 void
-feed_set_store (fleet_t *fleet, bool good)
+feed_set_store_available (fleet_t *fleet, bool available)
 {
-  fleet->good = good;
+  fleet->store_available = available;
 }
 
 void
-feed_forget (fleet_t *fleet)
+feed_compact_store (fleet_t *fleet)
 {
-  fleet->oldest = ++fleet->position;
+  fleet->compacted_position = ++fleet->position;
 }
 
 void
-feed_enter (fleet_t *fleet, size_t node, fw_member_state_t state)
+feed_set_entry (fleet_t *fleet, size_t node, fw_member_state_t state)
 {
   fleet->entries[node] = (entry_t){ state, ++fleet->position };
 }
@@ -361,13 +362,13 @@
 size_t
 feed_get_relay (const fleet_t *fleet, size_t node)
 {
-  return fleet->nodes[node].asking ? fleet->nodes[node].relay : FEED_NODES_MAX;
+  return fleet->nodes[node].request_outstanding ? fleet->nodes[node].relay : FEED_NODES_MAX;
 }
 
 fw_member_state_t
 feed_get_state (const fleet_t *fleet, size_t node, size_t other)
 {
-  return fleet->nodes[node].known[other];
+  return fleet->nodes[node].known_states[other];
 }
 
 fw_member_state_t
@@ -377,7 +378,7 @@
 }
 
 bool
-feed_holds_document (const fleet_t *fleet, size_t node)
+feed_has_newest_document (const fleet_t *fleet, size_t node)
 {
   uint64_t position;
   fb_bytes_t text = fd_get_document (fleet->nodes[node].feed, &position);
@@ -387,9 +388,9 @@
 }
 
 bool
-feed_is_good (const fleet_t *fleet, size_t node)
+feed_is_healthy (const fleet_t *fleet, size_t node)
 {
-  return fleet->nodes[node].trouble == FEED_GOOD;
+  return fleet->nodes[node].fault == FEED_NO_FAULT;
 }
 
 size_t
--- a/packages/dist/tests/fixture-feed.h
+++ b/packages/dist/tests/fixture-feed.h
@@ -8,60 +8,59 @@
 #define FEED_ZONES 3
 #define FEED_NODES_MAX 64
 
-/* Pace of the feeds, and the time in which every node must know a change. */
-#define FEED_PACE (800 * FB_MILLISECOND)
-#define FEED_BOUND (2 * FB_SECOND)
+/* Poll interval of the feeds, and the time within which every node must know a change. */
+#define FEED_POLL_INTERVAL (800 * FB_MILLISECOND)
+#define FEED_CHANGE_DEADLINE (2 * FB_SECOND)
 
 typedef struct fleet fleet_t;
 
-/* How a node, or its way to the store, is disturbed. */
+/* Fault of a node, or of its path to the store. */
 typedef enum
 {
-  FEED_GOOD,
-  FEED_SILENT, /* takes asks and never answers; does nothing itself */
-  FEED_DEAD,   /* refuses asks; does nothing itself */
-  FEED_AWAY    /* the store refuses its reads */
-} feed_trouble_t;
+  FEED_NO_FAULT,
+  FEED_UNRESPONSIVE,     /* accepts requests and never responds; does nothing itself */
+  FEED_REFUSING,         /* refuses requests; does nothing itself */
+  FEED_STORE_UNREACHABLE /* the store refuses its reads */
+} feed_fault_t;
 
 /* Creates a fleet of COUNT nodes in FEED_ZONES zones, each listed as "i-N" at "10.0.0.N", with
- * a first document, and lets it run until all are listed. */
+ * a first document, and runs it until all are listed. */
 fleet_t *feed_create_fleet (size_t count, uint32_t seed);
 
 void feed_destroy_fleet (fleet_t *fleet);
 
-/* Lets TIME pass. */
-void feed_pass (fleet_t *fleet, fb_time_t time);
+/* Runs the fleet for TIME. */
+void feed_advance (fleet_t *fleet, fb_time_t time);
 
-void feed_trouble (fleet_t *fleet, size_t node, feed_trouble_t trouble);
+void feed_set_fault (fleet_t *fleet, size_t node, feed_fault_t fault);
 
-/* The store answers, or refuses everyone. */
-void feed_set_store (fleet_t *fleet, bool good);
+/* Sets whether the store serves reads or refuses them all. */
+void feed_set_store_available (fleet_t *fleet, bool available);
 
-/* The store forgets the changes before now. */
-void feed_forget (fleet_t *fleet);
+/* Compacts all changes of the store up to now. */
+void feed_compact_store (fleet_t *fleet);
 
 /* Changes the entry of NODE; FW_DEAD removes it. */
-void feed_enter (fleet_t *fleet, size_t node, fw_member_state_t state);
+void feed_set_entry (fleet_t *fleet, size_t node, fw_member_state_t state);
 
-/* Publishes TEXT. */
 void feed_publish (fleet_t *fleet, const char *text);
 
-/* Returns the node that NODE asked last, or FEED_NODES_MAX while it reads itself. */
+/* Returns the node to which NODE has an outstanding request, or FEED_NODES_MAX without one. */
 size_t feed_get_relay (const fleet_t *fleet, size_t node);
 
-/* Returns the state of OTHER as NODE knows it, FW_DEAD when it does not know it. */
+/* Returns the state of OTHER as known to NODE, FW_DEAD when it is unknown. */
 fw_member_state_t feed_get_state (const fleet_t *fleet, size_t node, size_t other);
 
 /* Returns the state of the entry of NODE in the store. */
 fw_member_state_t feed_get_entry (const fleet_t *fleet, size_t node);
 
-/* Returns whether NODE holds the newest document. */
-bool feed_holds_document (const fleet_t *fleet, size_t node);
+/* Returns whether NODE has the newest document. */
+bool feed_has_newest_document (const fleet_t *fleet, size_t node);
 
-/* Returns whether NODE is undisturbed. */
-bool feed_is_good (const fleet_t *fleet, size_t node);
+/* Returns whether NODE has no fault. */
+bool feed_is_healthy (const fleet_t *fleet, size_t node);
 
-/* Returns reads of the store, all nodes together, and those of the document alone. */
+/* Return the reads of the store by all nodes, and those of the document alone. */
 size_t feed_count_reads (const fleet_t *fleet);
 size_t feed_count_document_reads (const fleet_t *fleet);
 
--- a/packages/dist/tests/test-feed.c
+++ b/packages/dist/tests/test-feed.c
@@ -5,8 +5,8 @@
 
 #define NODES 36
 
-/* Least time between two reads of the node of a zone that the others follow. */
-#define READER_PERIOD (FEED_PACE * 3 / 5)
+/* Shortest time between two reads of the store by a node with followers. */
+#define READER_READ_PERIOD (FEED_POLL_INTERVAL * 3 / 5)
 
 /* Returns the node that most nodes of ZONE follow. */
 static size_t
@@ -26,136 +26,137 @@
   return best;
 }
 
-/* Fails unless every undisturbed node but LEAVING knows STATE of LEAVING and the newest
- * document.
+/* Fails unless every node without a fault knows STATE of ENDPOINT and has the newest document.
  */
 static void
-check_known (const fleet_t *fleet, size_t leaving, fw_member_state_t state)
+check_healthy_nodes (const fleet_t *fleet, size_t endpoint, fw_member_state_t state)
 {
   for (size_t i = 0; i < NODES; i++)
     {
-      if (!feed_is_good (fleet, i))
+      if (!feed_is_healthy (fleet, i))
         continue;
       g_test_message ("node %zu", i);
-      g_assert_cmpint (feed_get_state (fleet, i, leaving), ==, state);
-      g_assert_true (feed_holds_document (fleet, i));
+      g_assert_cmpint (feed_get_state (fleet, i, endpoint), ==, state);
+      g_assert_true (feed_has_newest_document (fleet, i));
     }
 }
 
-/* Guards against a fleet in which each node reads the store for itself. */
+/* Guards against a fleet in which every node reads the store. */
 static void
 test_reads (void)
 {
   fleet_t *fleet = feed_create_fleet (NODES, 1);
   size_t before;
 
-  feed_pass (fleet, 5 * FB_SECOND);
+  feed_advance (fleet, 5 * FB_SECOND);
   before = feed_count_reads (fleet);
-  feed_pass (fleet, 20 * FB_SECOND);
+  feed_advance (fleet, 20 * FB_SECOND);
   g_test_message ("%zu reads in 20 s", feed_count_reads (fleet) - before);
   g_assert_cmpuint (feed_count_reads (fleet) - before, <=,
-                    FEED_ZONES * (1 + (size_t)(20 * FB_SECOND / READER_PERIOD)));
+                    FEED_ZONES * (1 + (size_t)(20 * FB_SECOND / READER_READ_PERIOD)));
   feed_destroy_fleet (fleet);
 }
 
-/* Guards against a change that comes late because a relay, or its way to the store, fails just
- * before it. */
+/* Guards against a change that arrives late because a relay, or its path to the store, fails
+ * just before it. */
 static void
 test_faults (void)
 {
   static const struct
   {
     const char *name;
-    feed_trouble_t trouble;
-    bool forget;
+    feed_fault_t fault;
+    bool compact;
   } cases[] = {
-    { "none", FEED_GOOD, false },     { "silent", FEED_SILENT, false },
-    { "dead", FEED_DEAD, false },     { "away", FEED_AWAY, false },
-    { "forgotten", FEED_GOOD, true },
+    { "none", FEED_NO_FAULT, false },
+    { "unresponsive", FEED_UNRESPONSIVE, false },
+    { "refusing", FEED_REFUSING, false },
+    { "store unreachable", FEED_STORE_UNREACHABLE, false },
+    { "compacted", FEED_NO_FAULT, true },
   };
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
-    for (fb_time_t offset = 0; offset < FEED_PACE; offset += FEED_PACE / 4)
+    for (fb_time_t offset = 0; offset < FEED_POLL_INTERVAL; offset += FEED_POLL_INTERVAL / 4)
       {
         fleet_t *fleet = feed_create_fleet (NODES, (uint32_t)i);
 
         g_test_message ("%s", cases[i].name);
-        feed_pass (fleet, 4 * FB_SECOND + offset);
+        feed_advance (fleet, 4 * FB_SECOND + offset);
         for (size_t zone = 0; zone < FEED_ZONES; zone++)
-          feed_trouble (fleet, find_reader (fleet, zone), cases[i].trouble);
-        feed_enter (fleet, 5, FW_LEAVING);
+          feed_set_fault (fleet, find_reader (fleet, zone), cases[i].fault);
+        feed_set_entry (fleet, 5, FW_LEAVING);
         feed_publish (fleet, "second");
-        if (cases[i].forget)
-          feed_forget (fleet);
-        feed_pass (fleet, FEED_BOUND);
-        check_known (fleet, 5, FW_LEAVING);
-        feed_enter (fleet, 5, FW_DEAD);
-        feed_pass (fleet, FEED_BOUND);
-        check_known (fleet, 5, FW_DEAD);
+        if (cases[i].compact)
+          feed_compact_store (fleet);
+        feed_advance (fleet, FEED_CHANGE_DEADLINE);
+        check_healthy_nodes (fleet, 5, FW_LEAVING);
+        feed_set_entry (fleet, 5, FW_DEAD);
+        feed_advance (fleet, FEED_CHANGE_DEADLINE);
+        check_healthy_nodes (fleet, 5, FW_DEAD);
         feed_destroy_fleet (fleet);
       }
 }
 
-/* Guards against a node that waits for news although none of those it could follow answers. */
+/* Guards against a node that waits for updates although no relay responds. */
 static void
-test_alone (void)
+test_no_responding_relay (void)
 {
-  for (fb_time_t offset = 0; offset < FEED_PACE; offset += FEED_PACE / 4)
+  for (fb_time_t offset = 0; offset < FEED_POLL_INTERVAL; offset += FEED_POLL_INTERVAL / 4)
     {
       fleet_t *fleet = feed_create_fleet (NODES, 11);
 
-      feed_pass (fleet, 4 * FB_SECOND + offset);
+      feed_advance (fleet, 4 * FB_SECOND + offset);
       for (size_t zone = 0; zone < FEED_ZONES; zone++)
         {
           size_t reader = find_reader (fleet, zone);
 
           for (size_t i = zone + FEED_ZONES; i < NODES; i += FEED_ZONES)
-            feed_trouble (fleet, i, FEED_SILENT);
-          feed_trouble (fleet, reader, FEED_SILENT);
+            feed_set_fault (fleet, i, FEED_UNRESPONSIVE);
+          feed_set_fault (fleet, reader, FEED_UNRESPONSIVE);
         }
-      feed_enter (fleet, 5, FW_LEAVING);
+      feed_set_entry (fleet, 5, FW_LEAVING);
       feed_publish (fleet, "second");
-      feed_pass (fleet, FEED_BOUND);
-      check_known (fleet, 5, FW_LEAVING);
+      feed_advance (fleet, FEED_CHANGE_DEADLINE);
+      check_healthy_nodes (fleet, 5, FW_LEAVING);
       feed_destroy_fleet (fleet);
     }
 }
 
 static void
-skip_read (const fd_read_t *read, void *user)
+ignore_read (const fd_read_t *read, void *user)
 {
 }
 
 static void
-skip_ask (const fw_member_t *peer, const fw_feed_message_t *ask, void *user)
+ignore_request (const fw_member_t *peer, const fw_feed_message_t *request, void *user)
 {
 }
 
 static void
-skip_answer (void *asker, const fw_feed_message_t *news, void *user)
+ignore_response (void *requester, const fw_feed_message_t *update, void *user)
 {
 }
 
 static void
-skip_document (void *user)
+ignore_document (void *user)
 {
 }
 
 static void
-note_state (const fw_endpoint_t *endpoint, void *user)
+record_state (const fw_endpoint_t *endpoint, void *user)
 {
   *(fw_member_state_t *)user = endpoint->member.state;
 }
 
-/* Guards against a read that was under way, or news that were, which undo something newer. */
+/* Guards against an outstanding read or a late update that reverts a newer change. */
 static void
 test_order (void)
 {
   static const struct
   {
-    uint64_t news;  /* position of news that the endpoint is gone */
-    uint64_t late;  /* position of older news that it is there; 0 for none */
-    uint64_t entry; /* position of the entry in a read that began before the news */
+    uint64_t update_position;      /* of an update that removes the endpoint */
+    uint64_t late_update_position; /* of an older update that lists it; 0 for none */
+    uint64_t entry_position;       /* of the entry in a read that began before the update */
     fw_member_state_t state;
   } cases[] = {
     { 60, 0, 30, FW_DEAD },  { 60, 0, 60, FW_DEAD },   { 60, 0, 61, FW_ALIVE },
@@ -167,33 +168,34 @@
       fb_clock_t *clock = fb_create_manual_clock (100 * FB_SECOND);
       fb_counters_t *counters = fb_create_counters ();
       fw_member_state_t state = FW_DEAD;
-      fd_feed_options_t rules = { .address = fb_make_name ("10.0.0.1"),
-                                  .zone = fb_make_name ("z"),
-                                  .poll_interval = FEED_PACE };
-      fd_feed_hooks_t hooks
-          = { skip_read, skip_ask, skip_answer, note_state, skip_document, &state };
-      fd_feed_t *feed = fd_create_feed (&rules, 1, clock, counters, NULL, &hooks);
-      fw_endpoint_t there = { { .id = fb_make_name ("i"), .state = FW_ALIVE }, 9 };
-      fw_endpoint_t gone = { { .id = fb_make_name ("i"), .state = FW_DEAD }, 9 };
-      fw_feed_message_t news = { .kind = FW_FEED_UPDATE,
-                                 .position = cases[i].news,
-                                 .endpoint_count = 1,
-                                 .endpoints = &gone };
-      fw_feed_message_t late = { .kind = FW_FEED_UPDATE,
-                                 .position = cases[i].late,
-                                 .endpoint_count = 1,
-                                 .endpoints = &there };
+      fd_feed_options_t options = { .address = fb_make_name ("10.0.0.1"),
+                                    .zone = fb_make_name ("z"),
+                                    .poll_interval = FEED_POLL_INTERVAL };
+      fd_feed_hooks_t hooks = { ignore_read,  ignore_request,  ignore_response,
+                                record_state, ignore_document, &state };
+      fd_feed_t *feed = fd_create_feed (&options, 1, clock, counters, NULL, &hooks);
+      fw_endpoint_t listed = { { .id = fb_make_name ("i"), .state = FW_ALIVE }, 9 };
+      fw_endpoint_t removed = { { .id = fb_make_name ("i"), .state = FW_DEAD }, 9 };
+      fw_feed_message_t update = { .kind = FW_FEED_UPDATE,
+                                   .position = cases[i].update_position,
+                                   .endpoint_count = 1,
+                                   .endpoints = &removed };
+      fw_feed_message_t late_update = { .kind = FW_FEED_UPDATE,
+                                        .position = cases[i].late_update_position,
+                                        .endpoint_count = 1,
+                                        .endpoints = &listed };
 
       fd_run_feed (feed);
-      fd_add_endpoint (feed, 5, &there);
+      fd_add_endpoint (feed, 5, &listed);
       fd_end_read (feed, &(fd_read_result_t){ FD_RESULT_COMPLETE, .position = 10 });
-      fb_advance_clock (clock, FEED_PACE);
+      fb_advance_clock (clock, FEED_POLL_INTERVAL);
       fd_run_feed (feed);
-      fd_handle_response (feed, &news);
-      if (cases[i].late > 0)
-        fd_handle_response (feed, &late);
-      fd_add_endpoint (feed, cases[i].entry, &there);
-      fd_end_read (feed, &(fd_read_result_t){ FD_RESULT_COMPLETE, .position = cases[i].entry });
+      fd_handle_response (feed, &update);
+      if (cases[i].late_update_position > 0)
+        fd_handle_response (feed, &late_update);
+      fd_add_endpoint (feed, cases[i].entry_position, &listed);
+      fd_end_read (
+          feed, &(fd_read_result_t){ FD_RESULT_COMPLETE, .position = cases[i].entry_position });
       g_assert_cmpint (state, ==, cases[i].state);
       fd_destroy_feed (feed);
       fb_destroy_counters (counters);
@@ -201,29 +203,30 @@
     }
 }
 
-/* Guards against endpoints that are dropped in an outage of the store although their entries
- * come back, and against ones that are kept afterwards although they do not. */
+/* Guards against endpoints that are removed in an outage of the store although their entries
+ * come back, and against ones that stay afterwards although their entries do not. */
 static void
 test_outage (void)
 {
   fleet_t *fleet = feed_create_fleet (NODES, 7);
 
-  feed_pass (fleet, 4 * FB_SECOND);
-  feed_set_store (fleet, false);
-  feed_pass (fleet, 3 * FB_SECOND);
-  feed_enter (fleet, 5, FW_DEAD);
-  feed_enter (fleet, 6, FW_DEAD);
-  feed_forget (fleet);
-  feed_pass (fleet, FB_SECOND);
-  check_known (fleet, 5, FW_ALIVE);
-  feed_set_store (fleet, true);
-  feed_pass (fleet, 1500 * FB_MILLISECOND);
-  check_known (fleet, 5, FW_ALIVE);
-  feed_enter (fleet, 5, FW_ALIVE);
-  /* A node may see the store again a back-off later; then the entry has 2 s to come back. */
-  feed_pass (fleet, FEED_BOUND + 2 * FB_SECOND);
-  check_known (fleet, 5, FW_ALIVE);
-  check_known (fleet, 6, FW_DEAD);
+  feed_advance (fleet, 4 * FB_SECOND);
+  feed_set_store_available (fleet, false);
+  feed_advance (fleet, 3 * FB_SECOND);
+  feed_set_entry (fleet, 5, FW_DEAD);
+  feed_set_entry (fleet, 6, FW_DEAD);
+  feed_compact_store (fleet);
+  feed_advance (fleet, FB_SECOND);
+  check_healthy_nodes (fleet, 5, FW_ALIVE);
+  feed_set_store_available (fleet, true);
+  feed_advance (fleet, 1500 * FB_MILLISECOND);
+  check_healthy_nodes (fleet, 5, FW_ALIVE);
+  feed_set_entry (fleet, 5, FW_ALIVE);
+  /* A node may read the store again only after a back-off; then the entry has 2 s to come back.
+   */
+  feed_advance (fleet, FEED_CHANGE_DEADLINE + 2 * FB_SECOND);
+  check_healthy_nodes (fleet, 5, FW_ALIVE);
+  check_healthy_nodes (fleet, 6, FW_DEAD);
   feed_destroy_fleet (fleet);
 }
 
@@ -238,23 +241,23 @@
   return text;
 }
 
-/* Guards against whole configurations that pass between nodes, and against nodes that read one
- * that a difference would bring. */
+/* Guards against full configurations sent between nodes, and against reads of a configuration
+ * that a delta would bring. */
 static void
 test_documents (void)
 {
   static const struct
   {
-    size_t changed;    /* bytes at the begin of the text */
-    size_t reads_most; /* of the configuration alone */
+    size_t changed; /* bytes at the start of the text */
+    size_t document_reads_max;
   } cases[] = { { 10, 0 }, { 200000, NODES } };
   fleet_t *fleet = feed_create_fleet (NODES, 3);
   GRand *random = g_rand_new_with_seed (3);
   char *text = make_text (random, 200000);
 
   feed_publish (fleet, text);
-  feed_pass (fleet, 4 * FB_SECOND);
-  check_known (fleet, 5, FW_ALIVE);
+  feed_advance (fleet, 4 * FB_SECOND);
+  check_healthy_nodes (fleet, 5, FW_ALIVE);
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       size_t before = feed_count_document_reads (fleet);
@@ -263,17 +266,19 @@
       memcpy (text, head, cases[i].changed);
       g_free (head);
       feed_publish (fleet, text);
-      feed_pass (fleet, FEED_BOUND);
-      check_known (fleet, 5, FW_ALIVE);
-      g_assert_cmpuint (feed_count_document_reads (fleet) - before, <=, cases[i].reads_most);
+      feed_advance (fleet, FEED_CHANGE_DEADLINE);
+      check_healthy_nodes (fleet, 5, FW_ALIVE);
+      g_assert_cmpuint (feed_count_document_reads (fleet) - before, <=,
+                        cases[i].document_reads_max);
     }
   g_free (text);
   g_rand_free (random);
   feed_destroy_fleet (fleet);
 }
 
-/* Guards against changes that come late, or that are undone by older news, while nodes and the
- * store fail at random; a change counts when its bound has passed without any trouble. */
+/* Guards against changes that arrive late, or are reverted by older updates, while nodes and
+ * the store fail at random. A change is checked when its deadline has passed without further
+ * faults. */
 static void
 run_random (uint32_t seed)
 {
@@ -287,27 +292,27 @@
       char *text = make_text (random, (size_t)g_rand_int_range (random, 1, 4000));
 
       for (int i = 0; i < 4; i++)
-        feed_trouble (fleet, (size_t)g_rand_int_range (random, 0, NODES),
-                      (feed_trouble_t)g_rand_int_range (random, 0, FEED_AWAY + 1));
+        feed_set_fault (fleet, (size_t)g_rand_int_range (random, 0, NODES),
+                        (feed_fault_t)g_rand_int_range (random, 0, FEED_STORE_UNREACHABLE + 1));
       if (g_rand_int_range (random, 0, 4) == 0)
-        feed_forget (fleet);
-      feed_pass (fleet, g_rand_int_range (random, 0, 1500) * FB_MILLISECOND);
-      feed_set_store (fleet, g_rand_int_range (random, 0, 4) > 0);
-      feed_pass (fleet, g_rand_int_range (random, 0, 3000) * FB_MILLISECOND);
-      feed_set_store (fleet, true);
+        feed_compact_store (fleet);
+      feed_advance (fleet, g_rand_int_range (random, 0, 1500) * FB_MILLISECOND);
+      feed_set_store_available (fleet, g_rand_int_range (random, 0, 4) > 0);
+      feed_advance (fleet, g_rand_int_range (random, 0, 3000) * FB_MILLISECOND);
+      feed_set_store_available (fleet, true);
       for (size_t i = 0; i < NODES; i++)
         if (g_rand_boolean (random))
-          feed_trouble (fleet, i, FEED_GOOD);
-      /* Calm until every node may be held to its bound. */
-      feed_pass (fleet, 3 * FB_SECOND + FEED_BOUND);
-      feed_enter (fleet, changed, states[g_rand_int_range (random, 0, 3)]);
+          feed_set_fault (fleet, i, FEED_NO_FAULT);
+      /* Time without new faults until the deadline applies to every node. */
+      feed_advance (fleet, 3 * FB_SECOND + FEED_CHANGE_DEADLINE);
+      feed_set_entry (fleet, changed, states[g_rand_int_range (random, 0, 3)]);
       feed_publish (fleet, text);
-      feed_pass (fleet, FEED_BOUND);
+      feed_advance (fleet, FEED_CHANGE_DEADLINE);
       g_test_message ("seed %u round %d", seed, round);
       for (size_t i = 0; i < NODES; i++)
-        for (size_t j = 0; j < NODES && feed_is_good (fleet, i); j++)
+        for (size_t j = 0; j < NODES && feed_is_healthy (fleet, i); j++)
           {
-            g_assert_true (feed_holds_document (fleet, i));
+            g_assert_true (feed_has_newest_document (fleet, i));
             g_assert_cmpint (feed_get_state (fleet, i, j), ==, feed_get_entry (fleet, j));
           }
       g_free (text);
@@ -332,7 +337,7 @@
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/dist/feed/reads", test_reads);
   g_test_add_func ("/dist/feed/faults", test_faults);
-  g_test_add_func ("/dist/feed/alone", test_alone);
+  g_test_add_func ("/dist/feed/no-responding-relay", test_no_responding_relay);
   g_test_add_func ("/dist/feed/order", test_order);
   g_test_add_func ("/dist/feed/outage", test_outage);
   g_test_add_func ("/dist/feed/documents", test_documents);
