--- a/packages/dist/source/dist-feed.c
+++ b/packages/dist/source/dist-feed.c
@@ -2,7 +2,7 @@
 #include "feed-state.h"
 #include <string.h>
 
-/* Wait of a read of changes; the store bills each read. After a lost response or a compacted
+/* Wait of a read of changes; each read is charged for. After a lost response or a compacted
  * history a change is missed for this long, and the full read that follows takes up to 1 s on a
  * slow link; both must end within the limit for a change of the configuration. */
 #define CHANGE_WAIT_MS 2000
--- a/packages/dist/source/dist-state.h
+++ b/packages/dist/source/dist-state.h
@@ -25,7 +25,7 @@
 /* Attempts at one announcer until it announces again. */
 #define FD_FETCH_ATTEMPTS_MAX 3
 
-/* Readers of the source in each zone; with two, the failure of one delays nothing. */
+/* Readers of the source in each zone: two, so that one may fail without effect. */
 #define FD_ZONE_READERS 2
 
 /* Limits of the calls of one node to the source. */
--- a/packages/dist/source/feed-state.h
+++ b/packages/dist/source/feed-state.h
@@ -68,7 +68,7 @@
   /* Following another node. */
   fb_name_t relay_address; /* empty while this node reads the store */
   bool request_outstanding;
-  fb_time_t request_sent_at; /* the outstanding one */
+  fb_time_t request_sent_at; /* of the outstanding request */
   fb_time_t next_request_at; /* or when a relay is chosen next */
   fb_time_t relay_as_of;     /* AS_OF of the last update received */
   uint64_t relay_feed_id;    /* feed whose changes RELAY_SEQUENCE counts */
