--- a/packages/call/source/admission-limit.c
+++ b/packages/call/source/admission-limit.c
@@ -6,17 +6,18 @@
 #define CONGESTION_RATIO 2
 
 /* Factor of the limit at congestion. */
-#define LIMIT_DECREASE 0.95
+#define LIMIT_DECREASE_FACTOR 0.95
 
 /* Largest limit, per slot. */
-#define LIMIT_PER_SLOT 8.0
+#define LIMIT_PER_SLOT_MAX 8.0
 
 void
-fr_adapt_limit (fr_admission_t *admission, fb_time_t latency, fb_time_t used)
+fr_update_concurrency_limit (fr_admission_t *admission, fb_time_t latency, fb_time_t used)
 {
   if (latency > CONGESTION_RATIO * used)
-    admission->limit *= LIMIT_DECREASE;
+    admission->concurrency_limit *= LIMIT_DECREASE_FACTOR;
   else
-    admission->limit += 1 / admission->limit;
-  admission->limit = CLAMP (admission->limit, 1, admission->slots * LIMIT_PER_SLOT);
+    admission->concurrency_limit += 1 / admission->concurrency_limit;
+  admission->concurrency_limit
+      = CLAMP (admission->concurrency_limit, 1, admission->slots * LIMIT_PER_SLOT_MAX);
 }
--- a/packages/call/source/admission-queue.c
+++ b/packages/call/source/admission-queue.c
@@ -3,16 +3,16 @@
 #include <foxtailrun/base/invariant.h>
 
 /* Slot time charged for a call of a rank that has no sample of its service time yet. */
-#define SERVICE_UNKNOWN ((double)FB_MILLISECOND)
+#define DEFAULT_SERVICE_TIME_NS ((double)FB_MILLISECOND)
 
 static int
-compare_turns (const void *a, const void *b, void *user)
+compare_virtual_starts (const void *a, const void *b, void *user)
 {
   const flow_t *left = a;
   const flow_t *right = b;
 
-  if (left->pass != right->pass)
-    return left->pass < right->pass ? -1 : 1;
+  if (left->virtual_start != right->virtual_start)
+    return left->virtual_start < right->virtual_start ? -1 : 1;
   return 0;
 }
 
@@ -26,20 +26,21 @@
 }
 
 static void
-leave_turns (flow_t *flow)
+unschedule_flow (flow_t *flow)
 {
-  if (flow->turn != NULL)
-    g_sequence_remove (flow->turn);
-  flow->turn = NULL;
+  if (flow->position != NULL)
+    g_sequence_remove (flow->position);
+  flow->position = NULL;
 }
 
 /* Puts FLOW where its pass belongs. */
 static void
 take_turn (flow_t *flow)
 {
-  leave_turns (flow);
+  unschedule_flow (flow);
   if (!g_queue_is_empty (&flow->waiting))
-    flow->turn = g_sequence_insert_sorted (flow->rank->turns, flow, compare_turns, NULL);
+    flow->position = g_sequence_insert_sorted (flow->rank->backlogged_flows, flow,
+                                               compare_virtual_starts, NULL);
 }
 
 rank_t *
@@ -48,16 +49,16 @@
   rank_t *rank = g_new0 (rank_t, 1);
 
   rank->index = index;
-  rank->rule = *rule;
+  rank->options = *rule;
   rank->flows = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, destroy_flow);
-  rank->turns = g_sequence_new (NULL);
+  rank->backlogged_flows = g_sequence_new (NULL);
   return rank;
 }
 
 void
 fr_destroy_rank (rank_t *rank)
 {
-  g_sequence_free (rank->turns);
+  g_sequence_free (rank->backlogged_flows);
   g_hash_table_destroy (rank->flows);
   g_free (rank);
 }
@@ -73,7 +74,7 @@
       flow = g_new0 (flow_t, 1);
       flow->customer = name;
       flow->rank = rank;
-      flow->pass = rank->virtual_time;
+      flow->virtual_start = rank->virtual_time;
       g_queue_init (&flow->waiting);
       g_hash_table_insert (rank->flows, name, flow);
     }
@@ -89,24 +90,24 @@
   flow_t *flow = entry->flow;
   bool idle = g_queue_is_empty (&flow->waiting);
 
-  entry->within_turn = idle && flow->pass <= flow->rank->virtual_time;
+  entry->within_fair_share = idle && flow->virtual_start <= flow->rank->virtual_time;
   entry->link.data = entry;
-  if (entry->again)
-    g_queue_push_nth_link (&flow->waiting, (gint)flow->again++, &entry->link);
+  if (entry->is_caller_retry)
+    g_queue_push_nth_link (&flow->waiting, (gint)flow->retries_waiting++, &entry->link);
   else
     g_queue_push_tail_link (&flow->waiting, &entry->link);
   flow->rank->waiting++;
   if (!idle)
     return;
   /* A customer that was idle starts at the present turn: it saves up no credit. */
-  flow->pass = MAX (flow->pass, flow->rank->virtual_time);
+  flow->virtual_start = MAX (flow->virtual_start, flow->rank->virtual_time);
   take_turn (flow);
 }
 
 entry_t *
 fr_peek_entry (const rank_t *rank)
 {
-  GSequenceIter *first = g_sequence_get_begin_iter (rank->turns);
+  GSequenceIter *first = g_sequence_get_begin_iter (rank->backlogged_flows);
 
   FB_INVARIANT (!g_sequence_iter_is_end (first));
   return g_queue_peek_head (&((flow_t *)g_sequence_get (first))->waiting);
@@ -120,11 +121,11 @@
   FB_INVARIANT (entry->link.data == entry);
   g_queue_unlink (&flow->waiting, &entry->link);
   entry->link.data = NULL;
-  if (entry->again)
-    flow->again--;
+  if (entry->is_caller_retry)
+    flow->retries_waiting--;
   flow->rank->waiting--;
   if (g_queue_is_empty (&flow->waiting))
-    leave_turns (flow);
+    unschedule_flow (flow);
 }
 
 void
@@ -133,9 +134,10 @@
   flow_t *flow = entry->flow;
   rank_t *rank = flow->rank;
 
-  rank->virtual_time = MAX (rank->virtual_time, flow->pass);
-  entry->charged = rank->service > 0 ? rank->service : SERVICE_UNKNOWN;
-  flow->pass += entry->charged / flow->weight;
+  rank->virtual_time = MAX (rank->virtual_time, flow->virtual_start);
+  entry->charged_ns
+      = rank->service_time_ns > 0 ? rank->service_time_ns : DEFAULT_SERVICE_TIME_NS;
+  flow->virtual_start += entry->charged_ns / flow->weight;
   flow->started++;
   rank->started++;
   take_turn (flow);
@@ -149,18 +151,18 @@
   FB_INVARIANT (flow->started > 0 && flow->rank->started > 0);
   flow->started--;
   flow->rank->started--;
-  flow->pass += ((double)used - entry->charged) / flow->weight;
+  flow->virtual_start += ((double)used - entry->charged_ns) / flow->weight;
   take_turn (flow);
 }
 
 entry_t *
-fr_find_largest_holder (const rank_t *rank, const flow_t *newcomer)
+fr_find_entry_to_evict (const rank_t *rank, const flow_t *newcomer)
 {
   const flow_t *largest = newcomer;
   double most
       = (double)(g_queue_get_length ((GQueue *)&newcomer->waiting) + 1) / newcomer->weight;
 
-  for (GSequenceIter *iter = g_sequence_get_begin_iter (rank->turns);
+  for (GSequenceIter *iter = g_sequence_get_begin_iter (rank->backlogged_flows);
        !g_sequence_iter_is_end (iter); iter = g_sequence_iter_next (iter))
     {
       const flow_t *flow = g_sequence_get (iter);
@@ -176,12 +178,12 @@
 }
 
 double
-fr_count_ahead (const flow_t *flow)
+fr_count_calls_ahead (const flow_t *flow)
 {
   double own = flow->waiting.length;
   double ahead = own;
 
-  for (GSequenceIter *iter = g_sequence_get_begin_iter (flow->rank->turns);
+  for (GSequenceIter *iter = g_sequence_get_begin_iter (flow->rank->backlogged_flows);
        !g_sequence_iter_is_end (iter); iter = g_sequence_iter_next (iter))
     {
       const flow_t *other = g_sequence_get (iter);
@@ -193,19 +195,19 @@
 }
 
 static gboolean
-is_flow_done (void *key, void *value, void *user)
+is_flow_idle (void *key, void *value, void *user)
 {
   const flow_t *flow = value;
 
   /* A debt is forgotten once nobody waits for it to be made good. */
   return g_queue_is_empty ((GQueue *)&flow->waiting) && flow->started == 0
-         && (flow->rank->waiting == 0 || flow->pass <= flow->rank->virtual_time);
+         && (flow->rank->waiting == 0 || flow->virtual_start <= flow->rank->virtual_time);
 }
 
 void
-fr_forget_flows (rank_t *rank)
+fr_remove_idle_flows (rank_t *rank)
 {
-  g_hash_table_foreach_remove (rank->flows, is_flow_done, NULL);
+  g_hash_table_foreach_remove (rank->flows, is_flow_idle, NULL);
 }
 
 void
@@ -224,17 +226,17 @@
       flow_t *target = fr_find_flow (to, fb_wrap_text (flow->customer), flow->weight);
       entry_t *entry;
 
-      leave_turns (flow);
-      leave_turns (target);
-      target->pass
-          = MAX (target->pass, to->virtual_time) + MAX (0, flow->pass - from->virtual_time);
+      unschedule_flow (flow);
+      unschedule_flow (target);
+      target->virtual_start = MAX (target->virtual_start, to->virtual_time)
+                              + MAX (0, flow->virtual_start - from->virtual_time);
       target->started += flow->started;
       while ((entry = g_queue_peek_head (&flow->waiting)) != NULL)
         {
           g_queue_unlink (&flow->waiting, &entry->link);
           g_queue_push_tail_link (&target->waiting, &entry->link);
           entry->flow = target;
-          entry->again = false;
+          entry->is_caller_retry = false;
         }
       take_turn (target);
     }
--- a/packages/call/source/admission-state.h
+++ b/packages/call/source/admission-state.h
@@ -6,13 +6,13 @@
 #include <glib.h>
 
 /* Time constant of the decaying average of slots used per rank. */
-#define USAGE_WINDOW FB_SECOND
+#define USAGE_TIME_CONSTANT FB_SECOND
 
 /* Most calls waiting in a rank when the rules give 0. */
 #define QUEUE_MAX_DEFAULT 256
 
 /* Weight of one more sample in the averages of service time. */
-#define SERVICE_GAIN (1.0 / 16)
+#define SERVICE_TIME_GAIN (1.0 / 16)
 
 typedef struct rank rank_t;
 
@@ -22,11 +22,11 @@
   char *customer;
   rank_t *rank;
   double weight;
-  double pass;         /* virtual time of its next turn, in slot nanoseconds by weight */
-  GQueue waiting;      /* entry_t, oldest first */
-  uint32_t again;      /* of those, calls that have come back; they wait first */
-  uint32_t started;    /* calls that hold a slot */
-  GSequenceIter *turn; /* position in the rank's turns; NULL when nothing waits */
+  double virtual_start;     /* virtual time of its next turn, in slot nanoseconds by weight */
+  GQueue waiting;           /* entry_t, oldest first */
+  uint32_t retries_waiting; /* of those, calls that have come back; they wait first */
+  uint32_t started;         /* calls that hold a slot */
+  GSequenceIter *position;  /* position in the rank's turns; NULL when nothing waits */
 } flow_t;
 
 typedef struct
@@ -34,29 +34,30 @@
   uint64_t id;
   void *call;
   flow_t *flow;
-  uint64_t order; /* of arrival */
-  fb_time_t arrived;
+  uint64_t arrival_number; /* of arrival */
+  fb_time_t arrived_at;
   fb_time_t deadline;
-  fb_time_t aim;
-  bool again;
-  fb_time_t started; /* valid when link.data is NULL */
-  bool within_turn;  /* its customer owed nothing and had nothing waiting when it arrived */
-  double charged;    /* slot time charged to the flow at the start, ns */
-  GList link;        /* in flow->waiting; data points back while it waits */
+  fb_time_t target_time;
+  bool is_caller_retry;
+  fb_time_t started_at; /* valid when link.data is NULL */
+  bool
+      within_fair_share; /* its customer owed nothing and had nothing waiting when it arrived */
+  double charged_ns;     /* slot time charged to the flow at the start, ns */
+  GList link;            /* in flow->waiting; data points back while it waits */
 } entry_t;
 
 struct rank
 {
   uint32_t index;
-  fr_rank_options_t rule;
-  GHashTable *flows; /* customer -> flow_t */
-  GSequence *turns;  /* flows with waiting calls, by pass */
+  fr_rank_options_t options;
+  GHashTable *flows;           /* customer -> flow_t */
+  GSequence *backlogged_flows; /* flows with waiting calls, by pass */
   double virtual_time;
   size_t waiting;
   uint32_t started;
-  double usage;       /* decaying average of slots held */
-  double service;     /* average service time in ns; 0 before the first sample */
-  uint64_t last_flow; /* sequence of flows, for a stable order */
+  double usage;           /* decaying average of slots held */
+  double service_time_ns; /* average service time in ns; 0 before the first sample */
+  uint64_t last_flow;     /* sequence of flows, for a stable order */
 };
 
 /* A hook that is due; hooks run only after the state is consistent. */
@@ -77,9 +78,9 @@
   GHashTable *entries; /* id -> entry_t */
   size_t started;
   size_t waiting;
-  uint64_t arrivals;
-  fb_time_t usage_time; /* when the usages were brought up to date */
-  double limit;         /* FR_POLICY_ADAPTIVE: calls allowed inside */
+  uint64_t arrival_count;
+  fb_time_t usage_updated_at; /* when the usages were brought up to date */
+  double concurrency_limit;   /* FR_POLICY_ADAPTIVE: calls allowed inside */
   bool draining;
   bool delivering;
   GQueue events; /* event_t */
@@ -116,13 +117,13 @@
 
 /* Returns the newest entry of the customer that holds the most of RANK for its weight; one more
  * is counted for NEWCOMER, and NULL is returned when that customer holds the most. */
-entry_t *fr_find_largest_holder (const rank_t *rank, const flow_t *newcomer);
+entry_t *fr_find_entry_to_evict (const rank_t *rank, const flow_t *newcomer);
 
 /* Returns how many calls waiting in the rank of FLOW start before a new call of FLOW. */
-double fr_count_ahead (const flow_t *flow);
+double fr_count_calls_ahead (const flow_t *flow);
 
 /* Frees flows that hold nothing and owe nothing. */
-void fr_forget_flows (rank_t *rank);
+void fr_remove_idle_flows (rank_t *rank);
 
 /* Moves everything of FROM into TO. */
 void fr_merge_rank (rank_t *to, rank_t *from);
@@ -145,6 +146,6 @@
 
 /* Moves the limit of FR_POLICY_ADAPTIVE after a call that took LATENCY from its arrival and
  * USED slot time. */
-void fr_adapt_limit (fr_admission_t *admission, fb_time_t latency, fb_time_t used);
+void fr_update_concurrency_limit (fr_admission_t *admission, fb_time_t latency, fb_time_t used);
 
 #endif
--- a/packages/call/source/admission.c
+++ b/packages/call/source/admission.c
@@ -65,53 +65,56 @@
 /* Returns whether ENTRY can no longer end by its deadline. A rank that runs nothing gets one
  * call through whatever the average says, or a wrong average would never be corrected. */
 static bool
-is_entry_late (const fr_admission_t *admission, const entry_t *entry, fb_time_t now)
+misses_deadline (const fr_admission_t *admission, const entry_t *entry, fb_time_t now)
 {
   const rank_t *rank = entry->flow->rank;
 
   if (entry->deadline <= now)
     return true;
   return admission->policy == FR_POLICY_SHARES && rank->started > 0
-         && (double)(entry->deadline - now) < rank->service;
+         && (double)(entry->deadline - now) < rank->service_time_ns;
 }
 
 /* Factor of the average service time that a call is expected to take at most; about as much
  * again as the spread of usual calls. */
-#define SERVICE_MARGIN 1.25
+#define SERVICE_TIME_MARGIN 1.25
 
 /* Returns whether a call of RANK that starts at START is expected to miss AIM. */
 static bool
-misses_aim (const rank_t *rank, fb_time_t start, fb_time_t aim)
+misses_target_time (const rank_t *rank, fb_time_t start, fb_time_t aim)
 {
-  return (double)start + rank->service * SERVICE_MARGIN > (double)aim;
+  return (double)start + rank->service_time_ns * SERVICE_TIME_MARGIN > (double)aim;
 }
 
 /* Returns whether a call that has waited in a rank over its share would miss its target: its
  * slot goes to a newer one. A call of a customer within its turn is served late instead, so
  * that a rank that one customer floods does not refuse the others. */
 static bool
-is_entry_stale (const fr_admission_t *admission, const entry_t *entry, fb_time_t now)
+should_skip_entry (const fr_admission_t *admission, const entry_t *entry, fb_time_t now)
 {
   const rank_t *rank = entry->flow->rank;
 
-  if (entry->aim > 0)
+  if (entry->target_time > 0)
     return admission->policy == FR_POLICY_SHARES && rank->waiting > 1
-           && misses_aim (rank, now, entry->aim) && !fr_is_below_share (admission, rank);
-  return admission->policy == FR_POLICY_SHARES && rank->rule.latency_target > 0
-         && rank->started > 0 && !entry->within_turn
-         && (double)(now - entry->arrived) + rank->service > (double)rank->rule.latency_target
+           && misses_target_time (rank, now, entry->target_time)
+           && !fr_is_below_share (admission, rank);
+  return admission->policy == FR_POLICY_SHARES && rank->options.latency_target > 0
+         && rank->started > 0 && !entry->within_fair_share
+         && (double)(now - entry->arrived_at) + rank->service_time_ns
+                > (double)rank->options.latency_target
          && !fr_is_below_share (admission, rank);
 }
 
 /* Returns whether ENTRY can no longer be in time while other calls wait too. It is refused, so
  * that its caller comes back in time, unless it has come back already. */
 static bool
-is_entry_overdue (const fr_admission_t *admission, const entry_t *entry, fb_time_t now)
+should_refuse_entry (const fr_admission_t *admission, const entry_t *entry, fb_time_t now)
 {
   const rank_t *rank = entry->flow->rank;
 
-  return admission->policy == FR_POLICY_SHARES && entry->aim > 0 && !entry->again
-         && admission->waiting > 1 && misses_aim (rank, now, entry->aim)
+  return admission->policy == FR_POLICY_SHARES && entry->target_time > 0
+         && !entry->is_caller_retry && admission->waiting > 1
+         && misses_target_time (rank, now, entry->target_time)
          && !fr_is_below_share (admission, rank);
 }
 
@@ -121,7 +124,7 @@
   FB_INVARIANT (admission->started < admission->slots);
   fr_remove_entry (entry);
   fr_charge_start (entry);
-  entry->started = now;
+  entry->started_at = now;
   admission->waiting--;
   admission->started++;
   add_event (admission, entry->call, true, FR_REFUSED_FULL);
@@ -129,7 +132,7 @@
 
 /* Gives free slots to waiting calls. */
 static void
-fill_slots (fr_admission_t *admission)
+start_waiting_calls (fr_admission_t *admission)
 {
   fb_time_t now = fb_read_clock (admission->clock);
   rank_t *rank;
@@ -138,9 +141,9 @@
     {
       entry_t *entry = fr_peek_entry (rank);
 
-      if (is_entry_late (admission, entry, now))
+      if (misses_deadline (admission, entry, now))
         refuse_entry (admission, entry, FR_REFUSED_LATE);
-      else if (is_entry_stale (admission, entry, now))
+      else if (should_skip_entry (admission, entry, now))
         refuse_entry (admission, entry, FR_REFUSED_FULL);
       else
         start_entry (admission, entry, now);
@@ -160,9 +163,9 @@
       if (i >= old_count)
         g_ptr_array_add (admission->ranks, fr_create_rank ((uint32_t)i, &ranks[i]));
       rank = g_ptr_array_index (admission->ranks, i);
-      rank->rule = ranks[i];
-      if (rank->rule.queue_max == 0)
-        rank->rule.queue_max = QUEUE_MAX_DEFAULT;
+      rank->options = ranks[i];
+      if (rank->options.queue_max == 0)
+        rank->options.queue_max = QUEUE_MAX_DEFAULT;
     }
 }
 
@@ -178,8 +181,8 @@
   admission->slots = slots;
   admission->clock = clock;
   admission->hooks = *hooks;
-  admission->usage_time = fb_read_clock (clock);
-  admission->limit = slots;
+  admission->usage_updated_at = fb_read_clock (clock);
+  admission->concurrency_limit = slots;
   admission->ranks = g_ptr_array_new ();
   admission->entries = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   g_queue_init (&admission->events);
@@ -236,22 +239,22 @@
     }
   while (admission->ranks->len > rank_count)
     fr_destroy_rank (g_ptr_array_remove_index (admission->ranks, admission->ranks->len - 1));
-  fill_slots (admission);
+  start_waiting_calls (admission);
   deliver_events (admission);
 }
 
 /* Makes room for one more call of FLOW; returns false when there is none. */
 static bool
-make_room (fr_admission_t *admission, const flow_t *flow)
+ensure_queue_space (fr_admission_t *admission, const flow_t *flow)
 {
   rank_t *rank = flow->rank;
   entry_t *largest;
 
   if (admission->policy == FR_POLICY_ADAPTIVE)
-    return (double)(admission->started + admission->waiting) < admission->limit;
-  if (rank->waiting < rank->rule.queue_max)
+    return (double)(admission->started + admission->waiting) < admission->concurrency_limit;
+  if (rank->waiting < rank->options.queue_max)
     return true;
-  largest = fr_find_largest_holder (rank, flow);
+  largest = fr_find_entry_to_evict (rank, flow);
   if (largest == NULL)
     return false;
   refuse_entry (admission, largest, FR_REFUSED_FULL);
@@ -261,15 +264,15 @@
 /* Returns whether the wait of a new call of RANK can be told. A rank that runs nothing gets one
  * call through whatever the average says, or a wrong average would never be corrected. */
 static bool
-can_estimate (const rank_t *rank, const fr_call_times_t *times)
+can_estimate_wait (const rank_t *rank, const fr_call_times_t *times)
 {
   return rank->started > 0 || (times->target_time > 0 && rank->waiting > 0);
 }
 
 /* Decides whether a new call of FLOW is refused, as REFUSAL. */
 static bool
-is_refused (fr_admission_t *admission, const flow_t *flow, const fr_call_times_t *times,
-            fr_refusal_t *refusal)
+should_refuse_call (fr_admission_t *admission, const flow_t *flow, const fr_call_times_t *times,
+                    fr_refusal_t *refusal)
 {
   const rank_t *rank = flow->rank;
   fb_time_t now = fb_read_clock (admission->clock);
@@ -281,25 +284,25 @@
   *refusal = FR_REFUSED_LATE;
   if (deadline <= now)
     return true;
-  if (admission->policy == FR_POLICY_SHARES && can_estimate (rank, times))
+  if (admission->policy == FR_POLICY_SHARES && can_estimate_wait (rank, times))
     {
       double wait = fr_estimate_wait (admission, flow, times->is_caller_retry);
-      double time = wait + rank->service;
+      double time = wait + rank->service_time_ns;
 
       if (time > (double)(deadline - now))
         return true;
       *refusal = FR_REFUSED_FULL;
       if (times->target_time > 0)
-        return wait > 0 && misses_aim (rank, now + (fb_time_t)wait, times->target_time)
+        return wait > 0 && misses_target_time (rank, now + (fb_time_t)wait, times->target_time)
                && !fr_is_below_share (admission, rank);
       /* A call that waits longer than its target is worth little; only the guaranteed share is
        * served late rather than not at all. */
-      if (rank->rule.latency_target > 0 && time > (double)rank->rule.latency_target
+      if (rank->options.latency_target > 0 && time > (double)rank->options.latency_target
           && admission->waiting > 0 && !fr_is_below_share (admission, rank))
         return true;
     }
   *refusal = FR_REFUSED_FULL;
-  return !make_room (admission, flow);
+  return !ensure_queue_space (admission, flow);
 }
 
 void
@@ -325,7 +328,7 @@
 
   FB_INVARIANT (!g_hash_table_contains (admission->entries, &id));
   fr_update_usage (admission);
-  if (is_refused (admission, flow, times, &refusal))
+  if (should_refuse_call (admission, flow, times, &refusal))
     add_event (admission, call, false, refusal);
   else
     {
@@ -334,15 +337,15 @@
       entry->id = id;
       entry->call = call;
       entry->flow = flow;
-      entry->order = admission->arrivals++;
-      entry->arrived = fb_read_clock (admission->clock);
+      entry->arrival_number = admission->arrival_count++;
+      entry->arrived_at = fb_read_clock (admission->clock);
       entry->deadline = times->deadline;
-      entry->aim = times->target_time;
-      entry->again = times->is_caller_retry;
+      entry->target_time = times->target_time;
+      entry->is_caller_retry = times->is_caller_retry;
       g_hash_table_insert (admission->entries, &entry->id, entry);
       admission->waiting++;
       fr_push_entry (entry);
-      fill_slots (admission);
+      start_waiting_calls (admission);
     }
   deliver_events (admission);
 }
@@ -358,15 +361,17 @@
   FB_INVARIANT (entry != NULL && entry->link.data == NULL);
   fr_update_usage (admission);
   rank = entry->flow->rank;
-  used = (double)(now - entry->started);
-  fr_charge_finish (entry, now - entry->started);
-  rank->service
-      = rank->service > 0 ? rank->service + (used - rank->service) * SERVICE_GAIN : used;
+  used = (double)(now - entry->started_at);
+  fr_charge_finish (entry, now - entry->started_at);
+  rank->service_time_ns
+      = rank->service_time_ns > 0
+            ? rank->service_time_ns + (used - rank->service_time_ns) * SERVICE_TIME_GAIN
+            : used;
   if (admission->policy == FR_POLICY_ADAPTIVE)
-    fr_adapt_limit (admission, now - entry->arrived, now - entry->started);
+    fr_update_concurrency_limit (admission, now - entry->arrived_at, now - entry->started_at);
   admission->started--;
   g_hash_table_remove (admission->entries, &id);
-  fill_slots (admission);
+  start_waiting_calls (admission);
   deliver_events (admission);
 }
 
@@ -399,9 +404,9 @@
 
       if (entry->link.data == NULL)
         continue;
-      if (is_entry_late (admission, entry, now))
+      if (misses_deadline (admission, entry, now))
         g_ptr_array_add (late, entry);
-      else if (is_entry_overdue (admission, entry, now))
+      else if (should_refuse_entry (admission, entry, now))
         g_ptr_array_add (overdue, entry);
     }
   for (size_t i = 0; i < late->len; i++)
@@ -411,8 +416,8 @@
   g_ptr_array_free (late, TRUE);
   g_ptr_array_free (overdue, TRUE);
   for (size_t i = 0; i < admission->ranks->len; i++)
-    fr_forget_flows (g_ptr_array_index (admission->ranks, i));
-  fill_slots (admission);
+    fr_remove_idle_flows (g_ptr_array_index (admission->ranks, i));
+  start_waiting_calls (admission);
   deliver_events (admission);
 }
 
--- a/packages/call/source/once-record.c
+++ b/packages/call/source/once-record.c
@@ -26,7 +26,7 @@
   size_t max_bytes;
   uint64_t next_serial;
   /* Serials below it without a record count as run: their records may have been dropped. */
-  uint64_t low_water;
+  uint64_t low_water_serial;
   GHashTable *records; /* serial -> record_t */
   GTree *completed;    /* serial -> record_t that is not running */
   GQueue answered;     /* record_t with an answer, oldest completion first */
@@ -67,7 +67,7 @@
   once->max_records = max_records;
   once->max_bytes = max_bytes;
   once->next_serial = 1;
-  once->low_water = 1;
+  once->low_water_serial = 1;
   once->records = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, destroy_record);
   once->completed = g_tree_new_full (compare_serials, NULL, NULL, NULL);
   g_queue_init (&once->answered);
@@ -107,7 +107,7 @@
 
 /* Drops the answer of RECORD and keeps the fact that it ran. */
 static void
-drop_answer (fr_once_t *once, record_t *record)
+evict_answer (fr_once_t *once, record_t *record)
 {
   if (record->answer == NULL)
     return;
@@ -120,7 +120,7 @@
 
 /* Drops the completed record with the lowest serial; returns false when all are running. */
 static bool
-drop_record (fr_once_t *once)
+evict_record (fr_once_t *once)
 {
   GTreeNode *first = g_tree_node_first (once->completed);
   record_t *record;
@@ -128,15 +128,15 @@
   if (first == NULL)
     return false;
   record = g_tree_node_value (first);
-  drop_answer (once, record);
-  once->low_water = MAX (once->low_water, record->serial + 1);
+  evict_answer (once, record);
+  once->low_water_serial = MAX (once->low_water_serial, record->serial + 1);
   g_tree_remove (once->completed, &record->serial);
   g_hash_table_remove (once->records, &record->serial);
   return true;
 }
 
 static fr_once_state_t
-find_state (const record_t *record, uint64_t request_digest, fb_bytes_t *answer)
+get_record_state (const record_t *record, uint64_t request_digest, fb_bytes_t *answer)
 {
   if (record->refused)
     return FR_ONCE_REFUSED;
@@ -168,12 +168,12 @@
     return FR_ONCE_INVALID;
   record = g_hash_table_lookup (once->records, &ticket->serial);
   if (record != NULL)
-    return find_state (record, request_digest, answer);
-  if (ticket->serial < once->low_water)
+    return get_record_state (record, request_digest, answer);
+  if (ticket->serial < once->low_water_serial)
     return FR_ONCE_UNKNOWN;
   /* From here on it is known that the serial never ran, even if the low-water mark passes it.
    */
-  if (g_hash_table_size (once->records) >= once->max_records && !drop_record (once))
+  if (g_hash_table_size (once->records) >= once->max_records && !evict_record (once))
     return FR_ONCE_UNKNOWN;
   record = g_new0 (record_t, 1);
   record->serial = ticket->serial;
@@ -239,7 +239,7 @@
   once->bytes += answer.len;
   g_queue_push_tail_link (&once->answered, &record->link);
   while (once->bytes > once->max_bytes)
-    drop_answer (once, g_queue_peek_head (&once->answered));
+    evict_answer (once, g_queue_peek_head (&once->answered));
 }
 
 void
--- a/packages/call/source/once-ticket.c
+++ b/packages/call/source/once-ticket.c
@@ -7,7 +7,7 @@
 
 /* Cuts the last field after a dash off TEXT and parses it as lower-case hexadecimal. */
 static bool
-take_hex (fb_str_t *text, uint64_t *value)
+parse_last_hex_field (fb_str_t *text, uint64_t *value)
 {
   size_t start = text->len;
 
@@ -43,8 +43,9 @@
     return FB_INVALID;
   text.data += prefix.len;
   text.len -= prefix.len;
-  if (!take_hex (&text, &ticket->nonce) || !take_hex (&text, &ticket->serial)
-      || !take_hex (&text, &ticket->start_id))
+  if (!parse_last_hex_field (&text, &ticket->nonce)
+      || !parse_last_hex_field (&text, &ticket->serial)
+      || !parse_last_hex_field (&text, &ticket->start_id))
     return FB_INVALID;
   if (text.len == 0 || !fb_set_name (&ticket->node, text))
     return FB_INVALID;
--- a/packages/call/source/retry-budget.c
+++ b/packages/call/source/retry-budget.c
@@ -4,12 +4,12 @@
 
 /* Retries allowed in each window whatever the traffic, so that a quiet service can retry: one a
  * second. */
-#define RETRY_FLOOR 10.0
+#define RETRIES_PER_WINDOW_MIN 10.0
 
 /* Part of the budget that each less urgent rank leaves to the others, and the least that a rank
  * may use. */
-#define RANK_PART 0.25
-#define RANK_PART_MIN 0.25
+#define RANK_RESERVE_FRACTION 0.25
+#define RANK_USABLE_FRACTION_MIN 0.25
 
 struct fr_retry_budget
 {
@@ -26,7 +26,7 @@
 
   budget->clock = clock;
   budget->ratio = FR_RETRY_RATIO;
-  budget->floor = RETRY_FLOOR;
+  budget->floor = RETRIES_PER_WINDOW_MIN;
   fr_init_windows (&budget->windows);
   return budget;
 }
@@ -60,7 +60,7 @@
 void
 fr_deposit_retry (fr_retry_budget_t *budget, fb_str_t service)
 {
-  fr_add_window (find_window (budget, service), fb_read_clock (budget->clock), 1, 0);
+  fr_add_to_window (find_window (budget, service), fb_read_clock (budget->clock), 1, 0);
 }
 
 bool
@@ -68,19 +68,20 @@
 {
   fr_window_t *window = find_window (budget, service);
   fb_time_t now = fb_read_clock (budget->clock);
-  const fr_window_count_t *sum = fr_move_window (window, now);
-  double allowed = budget->ratio * (double)sum->offered + budget->floor;
+  const fr_window_count_t *sum = fr_advance_window (window, now);
+  double allowed = budget->ratio * (double)sum->calls + budget->floor;
 
-  if ((double)(sum->taken + 1) > allowed * MAX (1 - RANK_PART * rank, RANK_PART_MIN))
+  if ((double)(sum->granted + 1)
+      > allowed * MAX (1 - RANK_RESERVE_FRACTION * rank, RANK_USABLE_FRACTION_MIN))
     return false;
-  fr_add_window (window, now, 0, 1);
+  fr_add_to_window (window, now, 0, 1);
   return true;
 }
 
 void
 fr_charge_retry (fr_retry_budget_t *budget, fb_str_t service)
 {
-  fr_add_window (find_window (budget, service), fb_read_clock (budget->clock), 0, 1);
+  fr_add_to_window (find_window (budget, service), fb_read_clock (budget->clock), 0, 1);
 }
 
 bool
--- a/packages/call/source/retry-throttle.c
+++ b/packages/call/source/retry-throttle.c
@@ -4,13 +4,13 @@
 
 /* Calls let through for each accepted one. Above 1, so that a service that recovers is seen at
  * once; 2 lets a flood cost a node as many refusals as accepted calls. */
-#define OFFERED_PER_ACCEPTED 2.0
+#define ADMITTED_PER_ACCEPTED 2.0
 
 /* Ended calls in the window before the throttle acts. */
-#define OFFERED_MIN 20
+#define SAMPLE_CALLS_MIN 20
 
 /* Longest time without a call let through while calls are offered. */
-#define PROBE_PERIOD (100 * FB_MILLISECOND)
+#define PROBE_INTERVAL (100 * FB_MILLISECOND)
 
 /* Most windows held; calls of further customers are counted with those of the small ones. */
 #define WINDOWS_MAX 10000
@@ -58,17 +58,18 @@
     key = g_strdup_printf ("%u %.*s", rank, (int)service.len, service.data);
   window = fr_find_window (&throttle->windows, key, now);
   g_free (key);
-  fr_move_window (window, now);
+  fr_advance_window (window, now);
   return window;
 }
 
 /* Finds the window that decides about a call of CUSTOMER. */
 static fr_window_t *
-find_deciding (fr_throttle_t *throttle, fb_str_t service, uint32_t rank, fb_str_t customer)
+find_throttling_window (fr_throttle_t *throttle, fb_str_t service, uint32_t rank,
+                        fb_str_t customer)
 {
   fr_window_t *own = find_window (throttle, service, rank, &customer);
 
-  return own->apart ? own : find_window (throttle, service, rank, NULL);
+  return own->counted_separately ? own : find_window (throttle, service, rank, NULL);
 }
 
 /* Counts one call of CUSTOMER that ended. A small customer is counted twice, alone and with the
@@ -81,31 +82,31 @@
   fr_window_t *own = find_window (throttle, service, rank, &customer);
   fr_window_t *small;
 
-  fr_add_window (own, now, 1, accepted);
-  if (own->apart)
+  fr_add_to_window (own, now, 1, accepted);
+  if (own->counted_separately)
     return;
   small = find_window (throttle, service, rank, NULL);
   if (small == own)
     return;
-  fr_add_window (small, now, 1, accepted);
-  if (own->sum.offered < OFFERED_MIN)
+  fr_add_to_window (small, now, 1, accepted);
+  if (own->sum.calls < SAMPLE_CALLS_MIN)
     return;
-  own->apart = true;
+  own->counted_separately = true;
   fr_subtract_window (small, own);
 }
 
 bool
 fr_admit_customer (fr_throttle_t *throttle, fb_str_t service, uint32_t rank, fb_str_t customer)
 {
-  fr_window_t *window = find_deciding (throttle, service, rank, customer);
+  fr_window_t *window = find_throttling_window (throttle, service, rank, customer);
   fb_time_t now = fb_read_clock (throttle->clock);
   const fr_window_count_t *sum = &window->sum;
-  double excess = (double)sum->offered - OFFERED_PER_ACCEPTED * (double)sum->taken;
+  double excess = (double)sum->calls - ADMITTED_PER_ACCEPTED * (double)sum->granted;
 
-  if (sum->offered < OFFERED_MIN || now - window->last_passed >= PROBE_PERIOD
-      || g_rand_double (throttle->random) >= excess / (double)(sum->offered + 1))
+  if (sum->calls < SAMPLE_CALLS_MIN || now - window->last_admitted_at >= PROBE_INTERVAL
+      || g_rand_double (throttle->random) >= excess / (double)(sum->calls + 1))
     {
-      window->last_passed = now;
+      window->last_admitted_at = now;
       return true;
     }
   /* Calls in flight are not counted before they end, or a slow service would look refusing. */
--- a/packages/call/source/retry-window.c
+++ b/packages/call/source/retry-window.c
@@ -2,55 +2,55 @@
 #include "retry-window.h"
 
 const fr_window_count_t *
-fr_move_window (fr_window_t *window, fb_time_t now)
+fr_advance_window (fr_window_t *window, fb_time_t now)
 {
-  int64_t part = now / (FR_WINDOW / FR_WINDOW_PARTS);
+  int64_t part = now / (FR_WINDOW_LENGTH / FR_WINDOW_BUCKETS);
 
-  if (part - window->part >= FR_WINDOW_PARTS)
-    window->part = part - FR_WINDOW_PARTS;
-  while (window->part < part)
+  if (part - window->bucket_number >= FR_WINDOW_BUCKETS)
+    window->bucket_number = part - FR_WINDOW_BUCKETS;
+  while (window->bucket_number < part)
     {
-      fr_window_count_t *oldest = &window->parts[++window->part % FR_WINDOW_PARTS];
+      fr_window_count_t *oldest = &window->buckets[++window->bucket_number % FR_WINDOW_BUCKETS];
 
-      window->sum.offered -= oldest->offered;
-      window->sum.taken -= oldest->taken;
+      window->sum.calls -= oldest->calls;
+      window->sum.granted -= oldest->granted;
       *oldest = (fr_window_count_t){ 0, 0 };
     }
-  if (window->sum.offered == 0)
-    window->apart = false;
+  if (window->sum.calls == 0)
+    window->counted_separately = false;
   return &window->sum;
 }
 
 void
-fr_add_window (fr_window_t *window, fb_time_t now, uint64_t offered, uint64_t taken)
+fr_add_to_window (fr_window_t *window, fb_time_t now, uint64_t offered, uint64_t taken)
 {
   fr_window_count_t *part;
 
-  fr_move_window (window, now);
-  part = &window->parts[window->part % FR_WINDOW_PARTS];
-  part->offered += offered;
-  part->taken += taken;
-  window->sum.offered += offered;
-  window->sum.taken += taken;
+  fr_advance_window (window, now);
+  part = &window->buckets[window->bucket_number % FR_WINDOW_BUCKETS];
+  part->calls += offered;
+  part->granted += taken;
+  window->sum.calls += offered;
+  window->sum.granted += taken;
 }
 
 void
 fr_subtract_window (fr_window_t *whole, const fr_window_t *part)
 {
-  for (size_t i = 0; i < FR_WINDOW_PARTS; i++)
+  for (size_t i = 0; i < FR_WINDOW_BUCKETS; i++)
     {
-      whole->parts[i].offered -= part->parts[i].offered;
-      whole->parts[i].taken -= part->parts[i].taken;
+      whole->buckets[i].calls -= part->buckets[i].calls;
+      whole->buckets[i].granted -= part->buckets[i].granted;
     }
-  whole->sum.offered -= part->sum.offered;
-  whole->sum.taken -= part->sum.taken;
+  whole->sum.calls -= part->sum.calls;
+  whole->sum.granted -= part->sum.granted;
 }
 
 void
 fr_init_windows (fr_windows_t *windows)
 {
   windows->table = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  windows->last_sweep = 0;
+  windows->last_sweep_at = 0;
 }
 
 void
@@ -62,8 +62,8 @@
 static gboolean
 is_window_empty (void *key, void *value, void *user)
 {
-  return fr_move_window (value, *(const fb_time_t *)user)->offered == 0
-         && ((fr_window_t *)value)->sum.taken == 0;
+  return fr_advance_window (value, *(const fb_time_t *)user)->calls == 0
+         && ((fr_window_t *)value)->sum.granted == 0;
 }
 
 fr_window_t *
@@ -71,9 +71,9 @@
 {
   fr_window_t *window;
 
-  if (now - windows->last_sweep >= FR_WINDOW)
+  if (now - windows->last_sweep_at >= FR_WINDOW_LENGTH)
     {
-      windows->last_sweep = now;
+      windows->last_sweep_at = now;
       g_hash_table_foreach_remove (windows->table, is_window_empty, &now);
     }
   window = g_hash_table_lookup (windows->table, key);
--- a/packages/call/source/route-pick.c
+++ b/packages/call/source/route-pick.c
@@ -55,7 +55,7 @@
 }
 
 static service_t *
-add_service (fr_picker_t *picker, const fb_name_t *name)
+find_or_add_service (fr_picker_t *picker, const fb_name_t *name)
 {
   service_t *service = g_hash_table_lookup (picker->services, name->data);
 
@@ -73,12 +73,12 @@
 static void
 remove_instance (fr_picker_t *picker, instance_t *instance)
 {
-  if (!instance->gone)
+  if (!instance->removed)
     {
-      instance->gone = true;
-      instance->member_of_subset = false;
+      instance->removed = true;
+      instance->in_subset = false;
       g_ptr_array_remove (instance->service->instances, instance);
-      instance->service->stale = true;
+      instance->service->subset_stale = true;
     }
   if (instance->in_flight == 0)
     g_hash_table_remove (picker->instances, instance->member.id.data);
@@ -95,25 +95,25 @@
       g_hash_table_insert (picker->instances, instance->member.id.data, instance);
     }
   instance->member = *member;
-  instance->service = add_service (picker, &member->service);
-  instance->weight
+  instance->service = find_or_add_service (picker, &member->service);
+  instance->rendezvous_weight
       = fb_get_rendezvous_weight (fb_get_name (&picker->self), fb_get_name (&member->id));
-  instance->gone = false;
+  instance->removed = false;
   for (int i = 0; i < FC_RANKS_MAX; i++)
-    instance->ranks[i] = (traffic_t){ .in_flight = instance->ranks[i].in_flight };
+    instance->rank_stats[i] = (rank_stats_t){ .in_flight = instance->rank_stats[i].in_flight };
   instance->load = 0;
-  instance->failures = 0;
+  instance->consecutive_failures = 0;
   instance->ejections = 0;
-  instance->unreachable = 0;
+  instance->consecutive_unreachable = 0;
   instance->ejected_until = 0;
-  instance->joined = fb_read_clock (picker->clock);
+  instance->slow_start_begin = fb_read_clock (picker->clock);
   g_ptr_array_add (instance->service->instances, instance);
-  instance->service->stale = true;
+  instance->service->subset_stale = true;
 }
 
 /* Learns the region from this node's own description. */
 static void
-learn_region (fr_picker_t *picker, const fw_member_t *member)
+set_own_region (fr_picker_t *picker, const fw_member_t *member)
 {
   GHashTableIter iter;
   void *value;
@@ -123,7 +123,7 @@
   picker->region = member->region;
   g_hash_table_iter_init (&iter, picker->services);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    ((service_t *)value)->stale = true;
+    ((service_t *)value)->subset_stale = true;
 }
 
 void
@@ -135,14 +135,14 @@
   bool moved;
 
   if (fb_equal_name (&member->id, &picker->self))
-    learn_region (picker, member);
+    set_own_region (picker, member);
   if (!present)
     {
       if (instance != NULL)
         remove_instance (picker, instance);
       return;
     }
-  if (instance == NULL || instance->gone)
+  if (instance == NULL || instance->removed)
     {
       add_instance (picker, member, instance);
       return;
@@ -159,7 +159,7 @@
           || !fb_equal_name (&instance->member.region, &member->region);
   instance->member = *member;
   if (moved)
-    instance->service->stale = true;
+    instance->service->subset_stale = true;
 }
 
 static bool
@@ -174,7 +174,7 @@
 /* Collects the instances within REACH in the given state and returns whether each of them is
  * full. */
 static bool
-collect_candidates (const fr_picker_t *picker, const service_t *service, nearness_t reach,
+collect_candidates (const fr_picker_t *picker, const service_t *service, distance_t reach,
                     fw_member_state_t state, bool ejected, const fb_name_t *excluded,
                     size_t excluded_count, candidates_t *candidates)
 {
@@ -186,11 +186,11 @@
     {
       instance_t *instance = g_ptr_array_index (service->subset, i);
 
-      if (fr_get_nearness (picker, instance) > reach || instance->member.state != state
+      if (fr_get_distance (picker, instance) > reach || instance->member.state != state
           || fr_is_ejected (instance, now) != ejected
           || is_excluded (instance, excluded, excluded_count))
         continue;
-      FB_INVARIANT (candidates->count < SUBSET_MAX);
+      FB_INVARIANT (candidates->count < SUBSET_SIZE_MAX);
       candidates->instances[candidates->count++] = instance;
       full = full && fr_is_full (instance, now);
     }
@@ -201,23 +201,23 @@
 fr_find_candidates (const fr_picker_t *picker, const service_t *service,
                     const fb_name_t *excluded, size_t excluded_count, candidates_t *candidates)
 {
-  for (int near = 0; near < NEAR_COUNT; near++)
+  for (int near = 0; near < DISTANCE_COUNT; near++)
     {
-      bool full = collect_candidates (picker, service, (nearness_t)near, FW_ALIVE, false,
+      bool full = collect_candidates (picker, service, (distance_t)near, FW_ALIVE, false,
                                       excluded, excluded_count, candidates);
 
       if (candidates->count >= 2 && !full)
         return;
     }
   if (candidates->count == 0)
-    collect_candidates (picker, service, NEAR_OTHER, FW_ALIVE, true, excluded, excluded_count,
-                        candidates);
+    collect_candidates (picker, service, DISTANCE_OTHER, FW_ALIVE, true, excluded,
+                        excluded_count, candidates);
   if (candidates->count == 0)
-    collect_candidates (picker, service, NEAR_OTHER, FW_SUSPECT, false, excluded,
+    collect_candidates (picker, service, DISTANCE_OTHER, FW_SUSPECT, false, excluded,
                         excluded_count, candidates);
   if (candidates->count == 0)
-    collect_candidates (picker, service, NEAR_OTHER, FW_SUSPECT, true, excluded, excluded_count,
-                        candidates);
+    collect_candidates (picker, service, DISTANCE_OTHER, FW_SUSPECT, true, excluded,
+                        excluded_count, candidates);
 }
 
 /* Draws one candidate other than TAKEN; an instance in its slow start is drawn less often. */
@@ -231,14 +231,14 @@
 
   for (size_t i = 0; i < candidates->count; i++)
     if (candidates->instances[i] != taken)
-      total += fr_get_warmth (candidates->instances[i], now);
+      total += fr_get_slow_start_weight (candidates->instances[i], now);
   point = g_rand_double (picker->random) * total;
   for (size_t i = 0; i < candidates->count; i++)
     {
       if (candidates->instances[i] == taken)
         continue;
       last = candidates->instances[i];
-      point -= fr_get_warmth (last, now);
+      point -= fr_get_slow_start_weight (last, now);
       if (point < 0)
         break;
     }
@@ -246,7 +246,8 @@
 }
 
 static instance_t *
-pick_two (fr_picker_t *picker, const candidates_t *candidates, uint32_t rank, fb_time_t now)
+pick_two_choices (fr_picker_t *picker, const candidates_t *candidates, uint32_t rank,
+                  fb_time_t now)
 {
   instance_t *first = draw_candidate (picker, candidates, NULL, now);
   instance_t *second = draw_candidate (picker, candidates, first, now);
@@ -259,13 +260,13 @@
 
 /* The baselines. */
 static instance_t *
-pick_plain (const fr_picker_t *picker, service_t *service, const candidates_t *candidates,
-            fb_str_t key)
+pick_baseline (const fr_picker_t *picker, service_t *service, const candidates_t *candidates,
+               fb_str_t key)
 {
   instance_t *best = candidates->instances[0];
 
   if (picker->policy == FR_PICK_ROUND_ROBIN)
-    return candidates->instances[service->turn++ % candidates->count];
+    return candidates->instances[service->round_robin_next++ % candidates->count];
   for (size_t i = 1; i < candidates->count; i++)
     {
       instance_t *other = candidates->instances[i];
@@ -281,7 +282,7 @@
 
 /* Returns RANK within the number of ranks that a configuration may have. */
 static uint32_t
-limit_rank (uint32_t rank)
+clamp_rank (uint32_t rank)
 {
   return MIN (rank, FC_RANKS_MAX - 1);
 }
@@ -290,16 +291,17 @@
 begin_attempt (instance_t *instance, uint32_t rank)
 {
   instance->in_flight++;
-  instance->ranks[limit_rank (rank)].in_flight++;
+  instance->rank_stats[clamp_rank (rank)].in_flight++;
 }
 
 /* Collects the candidates of FR_PICK_LOCALITY, which weighs distance itself. */
 static void
-find_all (const fr_picker_t *picker, const service_t *service, const fb_name_t *excluded,
-          size_t excluded_count, candidates_t *candidates)
+collect_locality_candidates (const fr_picker_t *picker, const service_t *service,
+                             const fb_name_t *excluded, size_t excluded_count,
+                             candidates_t *candidates)
 {
-  collect_candidates (picker, service, NEAR_OTHER, FW_ALIVE, false, excluded, excluded_count,
-                      candidates);
+  collect_candidates (picker, service, DISTANCE_OTHER, FW_ALIVE, false, excluded,
+                      excluded_count, candidates);
   if (candidates->count == 0)
     fr_find_candidates (picker, service, excluded, excluded_count, candidates);
 }
@@ -317,11 +319,11 @@
                            excluded_count, picked);
   if (service == NULL)
     return false;
-  find_all (picker, service, excluded, excluded_count, &candidates);
+  collect_locality_candidates (picker, service, excluded, excluded_count, &candidates);
   if (candidates.count == 0)
     return false;
-  instance = fr_pick_near (picker, &candidates, limit_rank (rank), target, excluded_count > 0,
-                           fb_read_clock (picker->clock));
+  instance = fr_pick_by_locality (picker, &candidates, clamp_rank (rank), target,
+                                  excluded_count > 0, fb_read_clock (picker->clock));
   if (instance == NULL)
     return false;
   begin_attempt (instance, rank);
@@ -343,9 +345,10 @@
   if (candidates.count == 0)
     return false;
   if (picker->policy == FR_PICK_TWO_CHOICES)
-    instance = pick_two (picker, &candidates, limit_rank (rank), fb_read_clock (picker->clock));
+    instance = pick_two_choices (picker, &candidates, clamp_rank (rank),
+                                 fb_read_clock (picker->clock));
   else
-    instance = pick_plain (picker, service, &candidates, key);
+    instance = pick_baseline (picker, service, &candidates, key);
   begin_attempt (instance, rank);
   *picked = instance->member.id;
   return true;
@@ -379,11 +382,11 @@
 {
   instance_t *instance = g_hash_table_lookup (picker->instances, name->data);
   fb_time_t now = fb_read_clock (picker->clock);
-  traffic_t *traffic;
+  rank_stats_t *traffic;
 
   if (instance == NULL)
     return;
-  traffic = &instance->ranks[limit_rank (rank)];
+  traffic = &instance->rank_stats[clamp_rank (rank)];
   /* A call that began before the instance was known is not counted in flight. */
   if (traffic->in_flight > 0)
     {
@@ -393,17 +396,17 @@
   if (result == FR_RESULT_ANSWERED || result == FR_RESULT_FAILED)
     {
       fr_refresh_subset (picker, instance->service);
-      fr_sample_latency (instance, limit_rank (rank), latency, result == FR_RESULT_FAILED, now);
-      fr_count_attempt (instance, result == FR_RESULT_FAILED, now);
+      fr_sample_latency (instance, clamp_rank (rank), latency, result == FR_RESULT_FAILED, now);
+      fr_record_attempt (instance, result == FR_RESULT_FAILED, now);
     }
   if (result == FR_RESULT_UNREACHABLE)
-    fr_avoid_instance (instance, now);
+    fr_eject_unreachable (instance, now);
   if (result == FR_RESULT_ANSWERED || result == FR_RESULT_REFUSED)
     {
       instance->load = load;
-      instance->load_time = now;
+      instance->load_reported_at = now;
     }
-  if (instance->gone && instance->in_flight == 0)
+  if (instance->removed && instance->in_flight == 0)
     g_hash_table_remove (picker->instances, instance->member.id.data);
 }
 
--- a/packages/call/source/route-visit.c
+++ b/packages/call/source/route-visit.c
@@ -6,12 +6,12 @@
 describe_instance (const fr_picker_t *picker, const instance_t *instance, uint32_t rank,
                    fb_time_t now, fr_preference_t *preference)
 {
-  static const char *const distances[NEAR_COUNT] = { "zone", "region", "other" };
+  static const char *const distances[DISTANCE_COUNT] = { "zone", "region", "other" };
 
   *preference = (fr_preference_t){
     .member = &instance->member,
-    .distance = distances[fr_get_nearness (picker, instance)],
-    .in_subset = instance->member_of_subset,
+    .distance = distances[fr_get_distance (picker, instance)],
+    .in_subset = instance->in_subset,
     .ejected = fr_is_ejected (instance, now),
     .in_flight = instance->in_flight,
     .load = instance->load,
