--- a/packages/call/include/foxtailrun/call/admission.h
+++ b/packages/call/include/foxtailrun/call/admission.h
@@ -13,10 +13,11 @@
   FR_REFUSED_FULL,     /* the rank's queue is full */
   FR_REFUSED_LATE,     /* the deadline cannot be met or has passed */
   FR_REFUSED_DRAINING, /* the node is leaving */
-  FR_REFUSED_CANCELLED /* the caller gave up before it started */
+  FR_REFUSED_CANCELLED /* the caller cancelled it before it started */
 } fr_refusal_t;
 
-/* How free slots are given out; FR_POLICY_SHARES is the product's, the others are baselines. */
+/* How free slots are assigned. Nodes use FR_POLICY_SHARES; the others are baselines for
+ * comparison. */
 typedef enum
 {
   FR_POLICY_SHARES,
@@ -28,22 +29,22 @@
 
 typedef struct
 {
-  double share;             /* guaranteed part of slot time, 0 to 1 */
-  fb_time_t latency_target; /* latency target, ns */
-  uint32_t queue_max;       /* most calls waiting; 0 for the default */
+  double share;             /* guaranteed fraction of the slots, 0 to 1 */
+  fb_time_t latency_target; /* ns */
+  uint32_t queue_max;       /* limit of waiting calls; 0 for the default */
 } fr_rank_options_t;
 
 typedef struct
 {
-  /* A slot was given to CALL; it ends by fr_finish_call. */
+  /* CALL got a slot, which fr_finish_call frees. */
   void (*start) (void *call, void *user);
-  /* CALL was refused and never started; it is forgotten. */
+  /* CALL was refused without being started; admission keeps no reference to it. */
   void (*refuse) (void *call, fr_refusal_t refusal, void *user);
   void *user;
 } fr_admission_hooks_t;
 
-/* Hooks may call admission again; what that makes due is called after the present hook has
- * returned. Only fr_destroy_admission is not allowed in a hook. */
+/* Hooks may call all functions of admission except fr_destroy_admission; hooks that become due
+ * meanwhile are called after the current one has returned. */
 
 typedef struct fr_admission fr_admission_t;
 
@@ -54,30 +55,30 @@
                                      const fb_clock_t *clock, fb_counters_t *counters,
                                      const fr_admission_hooks_t *hooks);
 
-/* Frees the state; calls waiting are dropped without a hook. NULL is allowed. */
+/* Frees ADMISSION; waiting calls are dropped without a hook. NULL is allowed. */
 void fr_destroy_admission (fr_admission_t *admission);
 
-/* Takes over new rules, 1 slot and 1 rank at least, when a configuration changes; calls keep
- * waiting, ranks that went away join the least urgent. */
+/* Applies a changed configuration with at least 1 slot and 1 rank. Waiting calls are kept;
+ * those of removed ranks move to the least urgent rank. */
 void fr_configure_admission (fr_admission_t *admission, uint32_t slots,
                              const fr_rank_options_t *ranks, size_t rank_count);
 
-/* Offers CALL of RANK and CUSTOMER with WEIGHT and absolute DEADLINE in ns. Exactly one hook is
- * called for it, now or later; ID names it for the calls below and must be unused. */
+/* Offers CALL of RANK and CUSTOMER with WEIGHT and absolute DEADLINE in ns. Exactly one of
+ * start and refuse is called for it, now or later. ID identifies it in the functions below and
+ * must be unused. */
 void fr_offer_call (fr_admission_t *admission, uint64_t id, void *call, uint32_t rank,
                     fb_str_t customer, double weight, fb_time_t deadline);
 
-/* When a call is worth what. */
 typedef struct
 {
   fb_time_t deadline;    /* absolute, ns */
-  fb_time_t target_time; /* absolute: until here it counts as served in time; 0 stands for the
-                    target of its rank from now on */
-  bool is_caller_retry; /* it was refused before and has come back: it goes before the others of
-                 its customer */
+  fb_time_t target_time; /* absolute time until which an answer counts as in time; 0 for the
+                            latency target of the rank */
+  bool is_caller_retry;  /* refused before and sent again; queued before other calls of its
+                            customer */
 } fr_call_times_t;
 
-/* The same for a call with a latency target of its own. */
+/* Like fr_offer_call, for a call with its own target time or a caller retry. */
 void fr_offer_call_with_times (fr_admission_t *admission, uint64_t id, void *call,
                                uint32_t rank, fb_str_t customer, double weight,
                                const fr_call_times_t *times);
@@ -85,23 +86,24 @@
 /* Ends a started call and frees its slot. */
 void fr_finish_call (fr_admission_t *admission, uint64_t id);
 
-/* Gives up a waiting call by its refuse hook; returns false when it has started or is unknown.
- */
+/* Cancels a waiting call and calls its refuse hook; returns false when it has started or is
+ * unknown. */
 bool fr_cancel_call (fr_admission_t *admission, uint64_t id);
 
-/* Refuses calls whose deadline can no longer be met; call it every 10 ms or so. */
+/* Refuses waiting calls that can no longer meet their deadline or target time; to be called
+ * about every 10 ms. */
 void fr_tick_admission (fr_admission_t *admission);
 
-/* Refuses all new calls from now on; waiting and started ones go on. */
+/* Refuses all new calls from now on; waiting and started calls continue. */
 void fr_drain_admission (fr_admission_t *admission);
 
 /* Returns slots in use plus calls waiting, per 1,000 slots. */
 uint32_t fr_get_load (const fr_admission_t *admission);
 
-/* Returns the time in ns that a new call of RANK may expect to wait. */
+/* Returns the expected wait in ns of a new call of RANK. */
 fb_time_t fr_get_expected_wait (const fr_admission_t *admission, uint32_t rank);
 
-/* Returns calls started and not finished, and calls waiting. */
+/* Return the number of calls that are started and not finished, and of those waiting. */
 size_t fr_count_started (const fr_admission_t *admission);
 size_t fr_count_waiting (const fr_admission_t *admission);
 
--- a/packages/call/source/admission-limit.c
+++ b/packages/call/source/admission-limit.c
@@ -1,20 +1,20 @@
-/* The adaptive concurrency limit, a baseline: additive increase, multiplicative decrease. */
+/* Adaptive concurrency limit of FR_POLICY_ADAPTIVE: additive increase, multiplicative decrease.
+ */
 #include "admission-state.h"
 
-/* Latency in slot times of the same call that counts as congestion: it waited as long as it
- * ran. */
+/* A call is congested when its latency exceeds this multiple of its service time, that is, when
+ * it waited longer than it ran. */
 #define CONGESTION_RATIO 2
 
-/* Factor of the limit at congestion. */
 #define LIMIT_DECREASE_FACTOR 0.95
 
-/* Largest limit, per slot. */
 #define LIMIT_PER_SLOT_MAX 8.0
 
 void
-fr_update_concurrency_limit (fr_admission_t *admission, fb_time_t latency, fb_time_t used)
+fr_update_concurrency_limit (fr_admission_t *admission, fb_time_t latency,
+                             fb_time_t service_time)
 {
-  if (latency > CONGESTION_RATIO * used)
+  if (latency > CONGESTION_RATIO * service_time)
     admission->concurrency_limit *= LIMIT_DECREASE_FACTOR;
   else
     admission->concurrency_limit += 1 / admission->concurrency_limit;
--- a/packages/call/source/admission-queue.c
+++ b/packages/call/source/admission-queue.c
@@ -1,8 +1,8 @@
-/* Queues of one rank: customers take turns by weight (start-time fair queueing). */
+/* Queues of one rank: start-time fair queueing of customers by weight. */
 #include "admission-state.h"
 #include <foxtailrun/base/invariant.h>
 
-/* Slot time charged for a call of a rank that has no sample of its service time yet. */
+/* Charged for a call of a rank without a service time sample. */
 #define DEFAULT_SERVICE_TIME_NS ((double)FB_MILLISECOND)
 
 static int
@@ -33,9 +33,9 @@
   flow->position = NULL;
 }
 
-/* Puts FLOW where its pass belongs. */
+/* Inserts FLOW by its virtual start, or removes it when it has no waiting call. */
 static void
-take_turn (flow_t *flow)
+schedule_flow (flow_t *flow)
 {
   unschedule_flow (flow);
   if (!g_queue_is_empty (&flow->waiting))
@@ -44,12 +44,12 @@
 }
 
 rank_t *
-fr_create_rank (uint32_t index, const fr_rank_options_t *rule)
+fr_create_rank (uint32_t index, const fr_rank_options_t *options)
 {
   rank_t *rank = g_new0 (rank_t, 1);
 
   rank->index = index;
-  rank->options = *rule;
+  rank->options = *options;
   rank->flows = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, destroy_flow);
   rank->backlogged_flows = g_sequence_new (NULL);
   return rank;
@@ -88,20 +88,20 @@
 fr_push_entry (entry_t *entry)
 {
   flow_t *flow = entry->flow;
-  bool idle = g_queue_is_empty (&flow->waiting);
+  bool was_empty = g_queue_is_empty (&flow->waiting);
 
-  entry->within_fair_share = idle && flow->virtual_start <= flow->rank->virtual_time;
+  entry->within_fair_share = was_empty && flow->virtual_start <= flow->rank->virtual_time;
   entry->link.data = entry;
   if (entry->is_caller_retry)
     g_queue_push_nth_link (&flow->waiting, (gint)flow->retries_waiting++, &entry->link);
   else
     g_queue_push_tail_link (&flow->waiting, &entry->link);
   flow->rank->waiting++;
-  if (!idle)
+  if (!was_empty)
     return;
-  /* A customer that was idle starts at the present turn: it saves up no credit. */
+  /* An idle customer accumulates no credit. */
   flow->virtual_start = MAX (flow->virtual_start, flow->rank->virtual_time);
-  take_turn (flow);
+  schedule_flow (flow);
 }
 
 entry_t *
@@ -140,48 +140,48 @@
   flow->virtual_start += entry->charged_ns / flow->weight;
   flow->started++;
   rank->started++;
-  take_turn (flow);
+  schedule_flow (flow);
 }
 
 void
-fr_charge_finish (entry_t *entry, fb_time_t used)
+fr_charge_finish (entry_t *entry, fb_time_t service_time)
 {
   flow_t *flow = entry->flow;
 
   FB_INVARIANT (flow->started > 0 && flow->rank->started > 0);
   flow->started--;
   flow->rank->started--;
-  flow->virtual_start += ((double)used - entry->charged_ns) / flow->weight;
-  take_turn (flow);
+  flow->virtual_start += ((double)service_time - entry->charged_ns) / flow->weight;
+  schedule_flow (flow);
 }
 
 entry_t *
-fr_find_entry_to_evict (const rank_t *rank, const flow_t *newcomer)
+fr_find_entry_to_evict (const rank_t *rank, const flow_t *arriving_flow)
 {
-  const flow_t *largest = newcomer;
-  double most
-      = (double)(g_queue_get_length ((GQueue *)&newcomer->waiting) + 1) / newcomer->weight;
+  const flow_t *largest = arriving_flow;
+  double largest_waiting = (double)(g_queue_get_length ((GQueue *)&arriving_flow->waiting) + 1)
+                           / arriving_flow->weight;
 
   for (GSequenceIter *iter = g_sequence_get_begin_iter (rank->backlogged_flows);
        !g_sequence_iter_is_end (iter); iter = g_sequence_iter_next (iter))
     {
       const flow_t *flow = g_sequence_get (iter);
-      double held = (double)flow->waiting.length / flow->weight;
+      double waiting = (double)flow->waiting.length / flow->weight;
 
-      if (flow != newcomer && held > most)
+      if (flow != arriving_flow && waiting > largest_waiting)
         {
-          most = held;
+          largest_waiting = waiting;
           largest = flow;
         }
     }
-  return largest == newcomer ? NULL : g_queue_peek_tail ((GQueue *)&largest->waiting);
+  return largest == arriving_flow ? NULL : g_queue_peek_tail ((GQueue *)&largest->waiting);
 }
 
 double
 fr_count_calls_ahead (const flow_t *flow)
 {
-  double own = flow->waiting.length;
-  double ahead = own;
+  double own_waiting = flow->waiting.length;
+  double calls_ahead = own_waiting;
 
   for (GSequenceIter *iter = g_sequence_get_begin_iter (flow->rank->backlogged_flows);
        !g_sequence_iter_is_end (iter); iter = g_sequence_iter_next (iter))
@@ -189,9 +189,10 @@
       const flow_t *other = g_sequence_get (iter);
 
       if (other != flow)
-        ahead += MIN ((double)other->waiting.length, (own + 1) * other->weight / flow->weight);
+        calls_ahead += MIN ((double)other->waiting.length,
+                            (own_waiting + 1) * other->weight / flow->weight);
     }
-  return ahead;
+  return calls_ahead;
 }
 
 static gboolean
@@ -199,7 +200,7 @@
 {
   const flow_t *flow = value;
 
-  /* A debt is forgotten once nobody waits for it to be made good. */
+  /* A charge ahead of the virtual time matters only while other calls wait. */
   return g_queue_is_empty ((GQueue *)&flow->waiting) && flow->started == 0
          && (flow->rank->waiting == 0 || flow->virtual_start <= flow->rank->virtual_time);
 }
@@ -238,6 +239,6 @@
           entry->flow = target;
           entry->is_caller_retry = false;
         }
-      take_turn (target);
+      schedule_flow (target);
     }
 }
--- a/packages/call/source/admission-share.c
+++ b/packages/call/source/admission-share.c
@@ -1,38 +1,39 @@
-/* Which rank gets the next slot, and how long a new call waits for one. */
+/* Choice of the rank that gets the next slot, and estimate of the wait for a slot. */
 #include "admission-state.h"
 #include <math.h>
 
-/* Part of the slots that the estimate of the wait leaves to a rank at least; keeps it finite.
- */
+/* Lower bound of the fraction of slots assumed for a rank; keeps the estimated wait finite. */
 #define AVAILABLE_FRACTION_MIN 0.01
 
-/* Part of the slots held back from the least urgent rank while more urgent ones have traffic,
- * and the fewest slots with which any is held back. A slot is not taken back from a long call,
- * so without free slots urgent work waits for the end of one. */
+/* Fraction of the slots that the least urgent rank leaves free while more urgent ranks have
+ * traffic. Slots are not preempted, so without free slots an urgent call waits for the end of a
+ * long one. */
 #define RESERVE_FRACTION 0.2
+
+/* With fewer slots than this none is reserved. */
 #define RESERVE_TOTAL_SLOTS_MIN 5
 
-/* Part of the slots that more urgent ranks use at least for a reserve to be kept. */
+/* Fraction of the slots that more urgent ranks must use for a reserve to apply. */
 #define RESERVE_URGENT_USAGE_MIN 0.02
 
-/* Share that FR_POLICY_FAIR gives a rank without one. */
+/* Share that FR_POLICY_FAIR assumes for a rank without a share. */
 #define FAIR_SHARE_MIN 0.01
 
 void
 fr_update_usage (fr_admission_t *admission)
 {
   fb_time_t now = fb_read_clock (admission->clock);
-  double kept;
+  double decay;
 
   if (now == admission->usage_updated_at)
     return;
-  kept = exp (-(double)(now - admission->usage_updated_at) / (double)USAGE_TIME_CONSTANT);
+  decay = exp (-(double)(now - admission->usage_updated_at) / (double)USAGE_TIME_CONSTANT);
   admission->usage_updated_at = now;
   for (size_t i = 0; i < admission->ranks->len; i++)
     {
       rank_t *rank = g_ptr_array_index (admission->ranks, i);
 
-      rank->usage = rank->usage * kept + rank->started * (1 - kept);
+      rank->usage = rank->usage * decay + rank->started * (1 - decay);
     }
 }
 
@@ -42,24 +43,25 @@
   return rank->usage < rank->options.share * admission->slots;
 }
 
-/* Returns the slots that RANK leaves free when it is over its share; the less urgent, the more.
- */
+/* Returns the number of slots that RANK leaves free when it is over its share; it grows
+ * linearly from the most to the least urgent rank. */
 static uint32_t
 get_reserve (const fr_admission_t *admission, const rank_t *rank)
 {
-  uint32_t most = (uint32_t)ceil (admission->slots * RESERVE_FRACTION);
-  double urgent = 0;
+  uint32_t reserve_max = (uint32_t)ceil (admission->slots * RESERVE_FRACTION);
+  double urgent_usage = 0;
 
   if (rank->index == 0 || admission->slots < RESERVE_TOTAL_SLOTS_MIN)
     return 0;
   for (uint32_t i = 0; i < rank->index; i++)
-    urgent += ((rank_t *)g_ptr_array_index (admission->ranks, i))->usage;
-  if (urgent < admission->slots * RESERVE_URGENT_USAGE_MIN)
+    urgent_usage += ((rank_t *)g_ptr_array_index (admission->ranks, i))->usage;
+  if (urgent_usage < admission->slots * RESERVE_URGENT_USAGE_MIN)
     return 0;
-  return most * rank->index / MAX (admission->ranks->len - 1, 1);
+  return reserve_max * rank->index / MAX (admission->ranks->len - 1, 1);
 }
 
-/* The most urgent rank that is below its share goes first, then the most urgent one. */
+/* Returns the most urgent rank below its share, otherwise the most urgent rank if the reserve
+ * allows it. */
 static rank_t *
 choose_by_share (const fr_admission_t *admission)
 {
@@ -102,21 +104,21 @@
 static rank_t *
 choose_by_relative_usage (const fr_admission_t *admission)
 {
-  rank_t *least = NULL;
-  double least_used = 0;
+  rank_t *lowest = NULL;
+  double lowest_usage = 0;
 
   for (size_t i = 0; i < admission->ranks->len; i++)
     {
       rank_t *rank = g_ptr_array_index (admission->ranks, i);
-      double used = rank->usage / MAX (rank->options.share, FAIR_SHARE_MIN);
+      double relative_usage = rank->usage / MAX (rank->options.share, FAIR_SHARE_MIN);
 
-      if (rank->waiting > 0 && (least == NULL || used < least_used))
+      if (rank->waiting > 0 && (lowest == NULL || relative_usage < lowest_usage))
         {
-          least = rank;
-          least_used = used;
+          lowest = rank;
+          lowest_usage = relative_usage;
         }
     }
-  return least;
+  return lowest;
 }
 
 rank_t *
@@ -146,8 +148,9 @@
   return choose_by_share (admission);
 }
 
-/* Returns the part of the slots that RANK can count on: what more urgent ranks use and less
- * urgent ranks use within their guarantee is gone, its own guarantee is not. */
+/* Returns the fraction of the slots available to RANK: all slots except those used by more
+ * urgent ranks and those used by less urgent ranks within their shares, but at least its own
+ * share. */
 static double
 get_available_fraction (const fr_admission_t *admission, const rank_t *rank)
 {
@@ -166,28 +169,29 @@
   return MAX (MAX (available, rank->options.share), AVAILABLE_FRACTION_MIN);
 }
 
-/* Returns the expected wait of a call that AHEAD calls of RANK start before. */
+/* Returns the expected wait in ns of a call with CALLS_AHEAD calls of RANK before it. */
 static double
-estimate_wait_behind (const fr_admission_t *admission, const rank_t *rank, double ahead)
+estimate_wait_behind (const fr_admission_t *admission, const rank_t *rank, double calls_ahead)
 {
   if (admission->started < admission->slots && admission->waiting == 0)
     return 0;
-  return (ahead + 1) * rank->service_time_ns
+  return (calls_ahead + 1) * rank->service_time_ns
          / (admission->slots * get_available_fraction (admission, rank));
 }
 
 double
-fr_estimate_wait (const fr_admission_t *admission, const flow_t *flow, bool again)
+fr_estimate_wait (const fr_admission_t *admission, const flow_t *flow, bool is_caller_retry)
 {
   return estimate_wait_behind (admission, flow->rank,
-                               again ? flow->retries_waiting : fr_count_calls_ahead (flow));
+                               is_caller_retry ? flow->retries_waiting
+                                               : fr_count_calls_ahead (flow));
 }
 
 fb_time_t
-fr_get_expected_wait (const fr_admission_t *admission, uint32_t index)
+fr_get_expected_wait (const fr_admission_t *admission, uint32_t rank_index)
 {
   const rank_t *rank
-      = g_ptr_array_index (admission->ranks, MIN (index, admission->ranks->len - 1));
+      = g_ptr_array_index (admission->ranks, MIN (rank_index, admission->ranks->len - 1));
 
   return (fb_time_t)estimate_wait_behind (admission, rank, (double)rank->waiting);
 }
--- a/packages/call/source/admission-state.h
+++ b/packages/call/source/admission-state.h
@@ -5,13 +5,12 @@
 #include <foxtailrun/call/admission.h>
 #include <glib.h>
 
-/* Time constant of the decaying average of slots used per rank. */
 #define USAGE_TIME_CONSTANT FB_SECOND
 
-/* Most calls waiting in a rank when the rules give 0. */
+/* Queue length limit of a rank whose options give 0. */
 #define QUEUE_MAX_DEFAULT 256
 
-/* Weight of one more sample in the averages of service time. */
+/* Weight of a new sample in the moving average of the service time. */
 #define SERVICE_TIME_GAIN (1.0 / 16)
 
 typedef struct rank rank_t;
@@ -22,11 +21,12 @@
   char *customer;
   rank_t *rank;
   double weight;
-  double virtual_start;     /* virtual time of its next turn, in slot nanoseconds by weight */
-  GQueue waiting;           /* entry_t, oldest first */
-  uint32_t retries_waiting; /* of those, calls that have come back; they wait first */
-  uint32_t started;         /* calls that hold a slot */
-  GSequenceIter *position;  /* position in the rank's turns; NULL when nothing waits */
+  double virtual_start; /* virtual start time of its next call: charged slot time in ns divided
+                           by weight */
+  GQueue waiting;       /* entry_t, oldest first */
+  uint32_t retries_waiting; /* caller retries at the head of waiting */
+  uint32_t started;         /* calls that occupy a slot */
+  GSequenceIter *position;  /* in the rank's backlogged_flows; NULL when no call waits */
 } flow_t;
 
 typedef struct
@@ -34,16 +34,16 @@
   uint64_t id;
   void *call;
   flow_t *flow;
-  uint64_t arrival_number; /* of arrival */
+  uint64_t arrival_number;
   fb_time_t arrived_at;
   fb_time_t deadline;
-  fb_time_t target_time;
+  fb_time_t target_time; /* 0 for the latency target of the rank */
   bool is_caller_retry;
-  fb_time_t started_at; /* valid when link.data is NULL */
-  bool
-      within_fair_share; /* its customer owed nothing and had nothing waiting when it arrived */
-  double charged_ns;     /* slot time charged to the flow at the start, ns */
-  GList link;            /* in flow->waiting; data points back while it waits */
+  fb_time_t started_at;   /* valid when link.data is NULL */
+  bool within_fair_share; /* on arrival its customer had no waiting call and no charge ahead of
+                             the virtual time */
+  double charged_ns;      /* charged to the flow at the start */
+  GList link;             /* in flow->waiting; data points to this entry while it waits */
 } entry_t;
 
 struct rank
@@ -51,16 +51,16 @@
   uint32_t index;
   fr_rank_options_t options;
   GHashTable *flows;           /* customer -> flow_t */
-  GSequence *backlogged_flows; /* flows with waiting calls, by pass */
+  GSequence *backlogged_flows; /* flows with waiting calls, by virtual_start */
   double virtual_time;
   size_t waiting;
   uint32_t started;
-  double usage;           /* decaying average of slots held */
-  double service_time_ns; /* average service time in ns; 0 before the first sample */
-  uint64_t last_flow;     /* sequence of flows, for a stable order */
+  double usage;           /* decaying average of slots in use */
+  double service_time_ns; /* moving average; 0 before the first sample */
+  uint64_t last_flow;     /* unused */
 };
 
-/* A hook that is due; hooks run only after the state is consistent. */
+/* A pending hook call; hooks are called when the state is consistent. */
 typedef struct
 {
   void *call;
@@ -79,8 +79,8 @@
   size_t started;
   size_t waiting;
   uint64_t arrival_count;
-  fb_time_t usage_updated_at; /* when the usages were brought up to date */
-  double concurrency_limit;   /* FR_POLICY_ADAPTIVE: calls allowed inside */
+  fb_time_t usage_updated_at; /* time of the last fr_update_usage */
+  double concurrency_limit;   /* FR_POLICY_ADAPTIVE: calls started and waiting */
   bool draining;
   bool delivering;
   GQueue events; /* event_t */
@@ -90,62 +90,66 @@
 
 /* admission-queue.c */
 
-/* Creates an empty rank with RULE. */
-rank_t *fr_create_rank (uint32_t index, const fr_rank_options_t *rule);
+/* Creates an empty rank; OPTIONS are copied. */
+rank_t *fr_create_rank (uint32_t index, const fr_rank_options_t *options);
 
-/* Frees a rank with its flows; waiting entries belong to the table of entries. */
+/* Frees a rank with its flows; entries are owned by fr_admission_t.entries. */
 void fr_destroy_rank (rank_t *rank);
 
 /* Returns the flow of CUSTOMER in RANK, created when missing. */
 flow_t *fr_find_flow (rank_t *rank, fb_str_t customer, double weight);
 
-/* Appends ENTRY to its flow; one that has come back goes after the others that have, before the
- * rest. */
+/* Queues ENTRY in its flow; a caller retry goes behind the other retries and before the rest.
+ */
 void fr_push_entry (entry_t *entry);
 
-/* Returns the entry whose turn it is in RANK, which must have one waiting. */
+/* Returns the next entry of RANK, which must have a waiting call. */
 entry_t *fr_peek_entry (const rank_t *rank);
 
-/* Takes a waiting ENTRY out of its flow. */
+/* Removes a waiting ENTRY from its flow. */
 void fr_remove_entry (entry_t *entry);
 
-/* Charges the flow of ENTRY, just removed for its start, with the expected slot time. */
+/* Charges the flow of ENTRY, which was removed to be started, the expected service time. */
 void fr_charge_start (entry_t *entry);
 
-/* Corrects the charge of ENTRY to the slot time USED. */
-void fr_charge_finish (entry_t *entry, fb_time_t used);
+/* Corrects the charge of ENTRY to its actual SERVICE_TIME. */
+void fr_charge_finish (entry_t *entry, fb_time_t service_time);
 
-/* Returns the newest entry of the customer that holds the most of RANK for its weight; one more
- * is counted for NEWCOMER, and NULL is returned when that customer holds the most. */
-entry_t *fr_find_entry_to_evict (const rank_t *rank, const flow_t *newcomer);
+/* Returns the newest entry of the flow with the most waiting calls relative to its weight, with
+ * one more counted for ARRIVING_FLOW; NULL when that flow is ARRIVING_FLOW itself. */
+entry_t *fr_find_entry_to_evict (const rank_t *rank, const flow_t *arriving_flow);
 
-/* Returns how many calls waiting in the rank of FLOW start before a new call of FLOW. */
+/* Returns the expected number of waiting calls of its rank that start before a new call of
+ * FLOW. */
 double fr_count_calls_ahead (const flow_t *flow);
 
-/* Frees flows that hold nothing and owe nothing. */
+/* Frees flows without calls and without a charge that affects waiting calls. */
 void fr_remove_idle_flows (rank_t *rank);
 
-/* Moves everything of FROM into TO. */
+/* Moves the flows, counts and usage of FROM into TO. */
 void fr_merge_rank (rank_t *to, rank_t *from);
 
 /* admission-share.c */
 
-/* Brings the usages of all ranks up to the present. */
+/* Updates the usage of all ranks to the current time. */
 void fr_update_usage (fr_admission_t *admission);
 
-/* Returns whether RANK has had less than its guaranteed share of recent slot time. */
+/* Returns whether the recent usage of RANK is below its guaranteed share. */
 bool fr_is_below_share (const fr_admission_t *admission, const rank_t *rank);
 
-/* Returns the rank that gets the next slot, or NULL when nothing waits. */
+/* Returns the rank that gets the next slot, or NULL when none may start a call. */
 rank_t *fr_choose_rank (const fr_admission_t *admission);
 
-/* Returns the expected wait in ns of a new call of FLOW, or of one that comes AGAIN. */
-double fr_estimate_wait (const fr_admission_t *admission, const flow_t *flow, bool again);
+/* Returns the expected wait in ns of a new call of FLOW; a caller retry waits only for the
+ * retries before it. */
+double fr_estimate_wait (const fr_admission_t *admission, const flow_t *flow,
+                         bool is_caller_retry);
 
 /* admission-limit.c */
 
-/* Moves the limit of FR_POLICY_ADAPTIVE after a call that took LATENCY from its arrival and
- * USED slot time. */
-void fr_update_concurrency_limit (fr_admission_t *admission, fb_time_t latency, fb_time_t used);
+/* Updates the limit of FR_POLICY_ADAPTIVE after a call with LATENCY since its arrival and
+ * SERVICE_TIME. */
+void fr_update_concurrency_limit (fr_admission_t *admission, fb_time_t latency,
+                                  fb_time_t service_time);
 
 #endif
--- a/packages/call/source/admission.c
+++ b/packages/call/source/admission.c
@@ -1,4 +1,4 @@
-/* Admission: takes calls in, gives slots out and calls the hooks. */
+/* Admission: queues calls, assigns slots and calls the hooks. */
 #include "admission-state.h"
 #include <foxtailrun/base/invariant.h>
 
@@ -19,8 +19,8 @@
   return "unknown";
 }
 
-/* Calls the hooks that are due. A hook may call admission again; the outermost call then
- * delivers what that adds. */
+/* Calls the pending hooks. A hook may call admission again; the outermost call then delivers
+ * the events added. */
 static void
 deliver_events (fr_admission_t *admission)
 {
@@ -52,7 +52,7 @@
   fb_add_counter (start ? admission->count_started : admission->count_refused[refusal], 1);
 }
 
-/* Refuses a waiting ENTRY and forgets it. */
+/* Refuses a waiting ENTRY and frees it. */
 static void
 refuse_entry (fr_admission_t *admission, entry_t *entry, fr_refusal_t refusal)
 {
@@ -62,8 +62,9 @@
   g_hash_table_remove (admission->entries, &entry->id);
 }
 
-/* Returns whether ENTRY can no longer end by its deadline. A rank that runs nothing gets one
- * call through whatever the average says, or a wrong average would never be corrected. */
+/* Returns whether ENTRY cannot end by its deadline. The average service time is ignored while
+ * the rank runs no call, because an average that is too long would otherwise never be
+ * corrected. */
 static bool
 misses_deadline (const fr_admission_t *admission, const entry_t *entry, fb_time_t now)
 {
@@ -75,20 +76,20 @@
          && (double)(entry->deadline - now) < rank->service_time_ns;
 }
 
-/* Factor of the average service time that a call is expected to take at most; about as much
- * again as the spread of usual calls. */
+/* Upper estimate of a call's service time relative to the average; covers the usual spread. */
 #define SERVICE_TIME_MARGIN 1.25
 
-/* Returns whether a call of RANK that starts at START is expected to miss AIM. */
+/* Returns whether a call of RANK that starts at START is expected to end after TARGET_TIME. */
 static bool
-misses_target_time (const rank_t *rank, fb_time_t start, fb_time_t aim)
+misses_target_time (const rank_t *rank, fb_time_t start, fb_time_t target_time)
 {
-  return (double)start + rank->service_time_ns * SERVICE_TIME_MARGIN > (double)aim;
+  return (double)start + rank->service_time_ns * SERVICE_TIME_MARGIN > (double)target_time;
 }
 
-/* Returns whether a call that has waited in a rank over its share would miss its target: its
- * slot goes to a newer one. A call of a customer within its turn is served late instead, so
- * that a rank that one customer floods does not refuse the others. */
+/* Returns whether ENTRY, next in a rank over its share, would miss its target, so that the slot
+ * goes to a newer call. Without a target time of its own, a call within its customer's fair
+ * share is served late instead, so that a flood of one customer does not cause refusals of the
+ * others. */
 static bool
 should_skip_entry (const fr_admission_t *admission, const entry_t *entry, fb_time_t now)
 {
@@ -105,8 +106,8 @@
          && !fr_is_below_share (admission, rank);
 }
 
-/* Returns whether ENTRY can no longer be in time while other calls wait too. It is refused, so
- * that its caller comes back in time, unless it has come back already. */
+/* Returns whether a waiting ENTRY would miss its target time while other calls wait too. It is
+ * refused early so that its caller can retry in time, unless it is a retry already. */
 static bool
 should_refuse_entry (const fr_admission_t *admission, const entry_t *entry, fb_time_t now)
 {
@@ -130,7 +131,7 @@
   add_event (admission, entry->call, true, FR_REFUSED_FULL);
 }
 
-/* Gives free slots to waiting calls. */
+/* Assigns free slots to waiting calls. */
 static void
 start_waiting_calls (fr_admission_t *admission)
 {
@@ -218,24 +219,25 @@
 {
   GHashTableIter iter;
   void *value;
-  rank_t *last;
+  rank_t *last_rank;
 
   FB_INVARIANT (slots > 0);
   fr_update_usage (admission);
   admission->slots = slots;
   set_ranks (admission, ranks, rank_count);
-  last = g_ptr_array_index (admission->ranks, rank_count - 1);
+  last_rank = g_ptr_array_index (admission->ranks, rank_count - 1);
   for (size_t i = rank_count; i < admission->ranks->len; i++)
-    fr_merge_rank (last, g_ptr_array_index (admission->ranks, i));
+    fr_merge_rank (last_rank, g_ptr_array_index (admission->ranks, i));
   g_hash_table_iter_init (&iter, admission->entries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       entry_t *entry = value;
 
-      /* Started calls are in no queue; they find their flow in the rank that took it over. */
+      /* Started calls are in no queue; their flow is looked up in the rank that it was merged
+       * into. */
       if (entry->flow->rank->index >= rank_count)
-        entry->flow
-            = fr_find_flow (last, fb_wrap_text (entry->flow->customer), entry->flow->weight);
+        entry->flow = fr_find_flow (last_rank, fb_wrap_text (entry->flow->customer),
+                                    entry->flow->weight);
     }
   while (admission->ranks->len > rank_count)
     fr_destroy_rank (g_ptr_array_remove_index (admission->ranks, admission->ranks->len - 1));
@@ -243,26 +245,28 @@
   deliver_events (admission);
 }
 
-/* Makes room for one more call of FLOW; returns false when there is none. */
+/* Evicts a waiting call if needed to queue one more call of FLOW; returns false when the queue
+ * stays full. */
 static bool
 ensure_queue_space (fr_admission_t *admission, const flow_t *flow)
 {
   rank_t *rank = flow->rank;
-  entry_t *largest;
+  entry_t *evicted;
 
   if (admission->policy == FR_POLICY_ADAPTIVE)
     return (double)(admission->started + admission->waiting) < admission->concurrency_limit;
   if (rank->waiting < rank->options.queue_max)
     return true;
-  largest = fr_find_entry_to_evict (rank, flow);
-  if (largest == NULL)
+  evicted = fr_find_entry_to_evict (rank, flow);
+  if (evicted == NULL)
     return false;
-  refuse_entry (admission, largest, FR_REFUSED_FULL);
+  refuse_entry (admission, evicted, FR_REFUSED_FULL);
   return true;
 }
 
-/* Returns whether the wait of a new call of RANK can be told. A rank that runs nothing gets one
- * call through whatever the average says, or a wrong average would never be corrected. */
+/* Returns whether the wait of a new call of RANK can be estimated. A rank that runs no call
+ * accepts one regardless of its average service time, because an average that is too long would
+ * otherwise never be corrected. */
 static bool
 can_estimate_wait (const rank_t *rank, const fr_call_times_t *times)
 {
@@ -287,17 +291,17 @@
   if (admission->policy == FR_POLICY_SHARES && can_estimate_wait (rank, times))
     {
       double wait = fr_estimate_wait (admission, flow, times->is_caller_retry);
-      double time = wait + rank->service_time_ns;
+      double latency = wait + rank->service_time_ns;
 
-      if (time > (double)(deadline - now))
+      if (latency > (double)(deadline - now))
         return true;
       *refusal = FR_REFUSED_FULL;
       if (times->target_time > 0)
         return wait > 0 && misses_target_time (rank, now + (fb_time_t)wait, times->target_time)
                && !fr_is_below_share (admission, rank);
-      /* A call that waits longer than its target is worth little; only the guaranteed share is
-       * served late rather than not at all. */
-      if (rank->options.latency_target > 0 && time > (double)rank->options.latency_target
+      /* Calls over the guaranteed share are refused when they would exceed the latency target;
+       * calls within it are served late. */
+      if (rank->options.latency_target > 0 && latency > (double)rank->options.latency_target
           && admission->waiting > 0 && !fr_is_below_share (admission, rank))
         return true;
     }
@@ -319,7 +323,7 @@
                           fb_str_t customer, double weight, const fr_call_times_t *times)
 {
   size_t index = MIN (rank, admission->ranks->len - 1);
-  /* The baselines know ranks but not customers. */
+  /* The baseline policies do not distinguish customers. */
   bool by_customer = admission->policy == FR_POLICY_SHARES;
   flow_t *flow
       = fr_find_flow (g_ptr_array_index (admission->ranks, index),
@@ -356,17 +360,17 @@
   entry_t *entry = g_hash_table_lookup (admission->entries, &id);
   fb_time_t now = fb_read_clock (admission->clock);
   rank_t *rank;
-  double used;
+  double service_time;
 
   FB_INVARIANT (entry != NULL && entry->link.data == NULL);
   fr_update_usage (admission);
   rank = entry->flow->rank;
-  used = (double)(now - entry->started_at);
+  service_time = (double)(now - entry->started_at);
   fr_charge_finish (entry, now - entry->started_at);
   rank->service_time_ns
       = rank->service_time_ns > 0
-            ? rank->service_time_ns + (used - rank->service_time_ns) * SERVICE_TIME_GAIN
-            : used;
+            ? rank->service_time_ns + (service_time - rank->service_time_ns) * SERVICE_TIME_GAIN
+            : service_time;
   if (admission->policy == FR_POLICY_ADAPTIVE)
     fr_update_concurrency_limit (admission, now - entry->arrived_at, now - entry->started_at);
   admission->started--;
@@ -391,8 +395,8 @@
 fr_tick_admission (fr_admission_t *admission)
 {
   fb_time_t now = fb_read_clock (admission->clock);
-  GPtrArray *late = g_ptr_array_new ();
-  GPtrArray *overdue = g_ptr_array_new ();
+  GPtrArray *past_deadline = g_ptr_array_new ();
+  GPtrArray *past_target = g_ptr_array_new ();
   GHashTableIter iter;
   void *value;
 
@@ -405,16 +409,16 @@
       if (entry->link.data == NULL)
         continue;
       if (misses_deadline (admission, entry, now))
-        g_ptr_array_add (late, entry);
+        g_ptr_array_add (past_deadline, entry);
       else if (should_refuse_entry (admission, entry, now))
-        g_ptr_array_add (overdue, entry);
+        g_ptr_array_add (past_target, entry);
     }
-  for (size_t i = 0; i < late->len; i++)
-    refuse_entry (admission, g_ptr_array_index (late, i), FR_REFUSED_LATE);
-  for (size_t i = 0; i < overdue->len; i++)
-    refuse_entry (admission, g_ptr_array_index (overdue, i), FR_REFUSED_FULL);
-  g_ptr_array_free (late, TRUE);
-  g_ptr_array_free (overdue, TRUE);
+  for (size_t i = 0; i < past_deadline->len; i++)
+    refuse_entry (admission, g_ptr_array_index (past_deadline, i), FR_REFUSED_LATE);
+  for (size_t i = 0; i < past_target->len; i++)
+    refuse_entry (admission, g_ptr_array_index (past_target, i), FR_REFUSED_FULL);
+  g_ptr_array_free (past_deadline, TRUE);
+  g_ptr_array_free (past_target, TRUE);
   for (size_t i = 0; i < admission->ranks->len; i++)
     fr_remove_idle_flows (g_ptr_array_index (admission->ranks, i));
   start_waiting_calls (admission);
