--- a/packages/call/include/foxtailrun/call/retry.h
+++ b/packages/call/include/foxtailrun/call/retry.h
@@ -1,4 +1,5 @@
-/* Limits on repeated and refused work at the entry node: retry budget and adaptive throttle. */
+/* Limits on retries and on calls to overloaded services at the entry node: retry budget and
+ * adaptive throttle. */
 #ifndef FOXTAILRUN_CALL_RETRY_H
 #define FOXTAILRUN_CALL_RETRY_H
 
@@ -6,7 +7,7 @@
 #include <foxtailrun/base/string.h>
 #include <foxtailrun/wire/call.h>
 
-/* Retries allowed for each first attempt, over a sliding window, unless set otherwise. */
+/* Default of the retries allowed per first attempt in the sliding window of 10 s. */
 #define FR_RETRY_RATIO 0.1
 
 typedef struct fr_retry_budget fr_retry_budget_t;
@@ -17,24 +18,25 @@
 /* Frees the budget; NULL is allowed. */
 void fr_destroy_retry_budget (fr_retry_budget_t *budget);
 
-/* Sets the retries allowed in 10 s: RATIO for each first attempt, and FLOOR, 10 at first,
- * whatever the traffic. Nodes that share an allowance each take their part of it. */
+/* Sets the retries allowed in 10 s: RATIO per first attempt plus FLOOR, by default 10,
+ * regardless of traffic. Nodes that share an allowance each set their fraction of it. */
 void fr_set_retry_allowance (fr_retry_budget_t *budget, double ratio, double floor);
 
-/* Counts a first attempt to SERVICE, which earns a part of a retry. */
+/* Counts a first attempt to SERVICE, which adds to its budget. */
 void fr_deposit_retry (fr_retry_budget_t *budget, fb_str_t service);
 
-/* Takes one retry of a call of RANK, 0 being the most urgent, from the budget of SERVICE;
- * returns false when there is none. Less urgent ranks leave a part to the others. */
+/* Withdraws one retry of a call of RANK, 0 being the most urgent, from the budget of SERVICE;
+ * returns false when the budget is used up. Less urgent ranks may use only a fraction of the
+ * budget. */
 bool fr_withdraw_retry (fr_retry_budget_t *budget, fb_str_t service, uint32_t rank);
 
-/* Counts a retry that is made whatever the budget holds, such as a call that a run makes once
- * more because it is a repeat itself. */
+/* Charges a retry that is made regardless of the budget, such as a call made by a run that is
+ * itself a repeat. */
 void fr_charge_retry (fr_retry_budget_t *budget, fb_str_t service);
 
-/* Returns whether an attempt that ended with OUTCOME may be made again: only when it provably
- * did not run, or the route is repeatable and no answer came. HAS_TICKET forbids any other
- * node. */
+/* Returns whether an attempt that ended with OUTCOME may be retried on another node: only when
+ * it provably did not run, or the route is REPEATABLE and no answer arrived. Never with
+ * HAS_TICKET, which binds the call to one node. */
 bool fr_is_retry_safe (fw_outcome_t outcome, bool repeatable, bool has_ticket);
 
 typedef struct fr_throttle fr_throttle_t;
@@ -46,16 +48,16 @@
 /* Frees the throttle; NULL is allowed. */
 void fr_destroy_throttle (fr_throttle_t *throttle);
 
-/* Returns whether a call may be sent; false means refuse it here as not run. */
+/* Returns whether a call may be sent; otherwise it is to be refused locally as not run. */
 bool fr_admit_upstream (fr_throttle_t *throttle, fb_str_t service, uint32_t rank);
 
-/* Counts how a sent call ended: ACCEPTED is false when admission refused it. */
+/* Counts a sent call that ended; ACCEPTED is false when admission refused it. */
 void fr_report_upstream (fr_throttle_t *throttle, fb_str_t service, uint32_t rank,
                          bool accepted);
 
-/* The same for a call of CUSTOMER: a customer is throttled by what became of its own calls, so
- * that one that floods does not cost the others theirs. Customers with few calls are counted
- * together. The functions above stand for a customer without a name. */
+/* Like the functions above, which stand for a customer with an empty name. Each customer is
+ * throttled by the outcomes of its own calls, so that a flood of one does not cause refusals of
+ * others; customers with few calls are counted together. */
 bool fr_admit_customer (fr_throttle_t *throttle, fb_str_t service, uint32_t rank,
                         fb_str_t customer);
 void fr_report_customer (fr_throttle_t *throttle, fb_str_t service, uint32_t rank,
--- a/packages/call/include/foxtailrun/call/splitter.h
+++ b/packages/call/include/foxtailrun/call/splitter.h
@@ -1,4 +1,4 @@
-/* Division of the calls of a route among services by weight. */
+/* Weighted split of the calls of a route among services. */
 #ifndef FOXTAILRUN_CALL_SPLITTER_H
 #define FOXTAILRUN_CALL_SPLITTER_H
 
@@ -12,9 +12,9 @@
 /* Frees the splitter; NULL is allowed. */
 void fr_destroy_splitter (fr_splitter_t *splitter);
 
-/* Returns the index of the service that takes the next call of ROUTE. Over any run of calls
- * each part stays within one call of its share, whose start is random so that nodes do not
- * choose alike. */
+/* Returns the index of the service for the next call of ROUTE. Over any sequence of calls the
+ * count of each part stays within one call of its share. The sequence starts at a random
+ * position, so that nodes do not make the same choices. */
 uint32_t fr_split_call (fr_splitter_t *splitter, const fc_route_t *route);
 
 #endif
--- a/packages/call/source/once-record.c
+++ b/packages/call/source/once-record.c
@@ -1,4 +1,4 @@
-/* Records of the serials that ran, and their answers. */
+/* Records of used serials and their answers. */
 #include <foxtailrun/base/invariant.h>
 #include <foxtailrun/call/once.h>
 #include <glib.h>
@@ -11,10 +11,10 @@
   uint64_t serial;
   uint64_t request_digest;
   bool running;
-  bool refused;    /* told as not run */
-  uint8_t *answer; /* NULL when none is held */
+  bool refused;    /* reported as not run */
+  uint8_t *answer; /* NULL when none is recorded */
   size_t answer_len;
-  GList link; /* in answered, while an answer is held */
+  GList link; /* in answered, while answer is not NULL */
 } record_t;
 
 struct fr_once
@@ -25,7 +25,8 @@
   size_t max_records;
   size_t max_bytes;
   uint64_t next_serial;
-  /* Serials below it without a record count as run: their records may have been dropped. */
+  /* Serials below it without a record count as run, because their records may have been
+   * evicted. */
   uint64_t low_water_serial;
   GHashTable *records; /* serial -> record_t */
   GTree *completed;    /* serial -> record_t that is not running */
@@ -85,7 +86,7 @@
   g_free (once);
 }
 
-/* Returns the nonce of SERIAL: nobody else can make a ticket that was not issued. */
+/* Returns the nonce of SERIAL, without which a ticket cannot be forged. */
 static uint64_t
 compute_nonce (const fr_once_t *once, uint64_t serial)
 {
@@ -105,7 +106,7 @@
               once->node.data, once->start_id, serial, compute_nonce (once, serial));
 }
 
-/* Drops the answer of RECORD and keeps the fact that it ran. */
+/* Frees the answer of RECORD; the record that it ran stays. */
 static void
 evict_answer (fr_once_t *once, record_t *record)
 {
@@ -118,7 +119,7 @@
   record->answer_len = 0;
 }
 
-/* Drops the completed record with the lowest serial; returns false when all are running. */
+/* Removes the completed record with the lowest serial; returns false when all are running. */
 static bool
 evict_record (fr_once_t *once)
 {
@@ -150,8 +151,8 @@
   return FR_ONCE_ANSWERED;
 }
 
-/* Finds what is known of TICKET, or with FR_ONCE_RUN a new record in *CREATED, which counts as
- * running. */
+/* Returns the state of an earlier use of TICKET, or FR_ONCE_RUN with a new running record in
+ * *CREATED. */
 static fr_once_state_t
 find_or_create (fr_once_t *once, const fr_ticket_t *ticket, uint64_t request_digest,
                 fb_bytes_t *answer, record_t **created)
@@ -171,8 +172,7 @@
     return get_record_state (record, request_digest, answer);
   if (ticket->serial < once->low_water_serial)
     return FR_ONCE_UNKNOWN;
-  /* From here on it is known that the serial never ran, even if the low-water mark passes it.
-   */
+  /* The serial has not run, even if evict_record raises the low-water mark above it. */
   if (g_hash_table_size (once->records) >= once->max_records && !evict_record (once))
     return FR_ONCE_UNKNOWN;
   record = g_new0 (record_t, 1);
--- a/packages/call/source/once-ticket.c
+++ b/packages/call/source/once-ticket.c
@@ -1,11 +1,11 @@
-/* Tickets as text. */
+/* Text format of tickets. */
 #include <foxtailrun/call/once.h>
 #include <string.h>
 
-/* Most hexadecimal digits of a 64-bit number. */
-#define HEX_DIGITS_MAX 16
+#define UINT64_HEX_DIGITS_MAX 16
 
-/* Cuts the last field after a dash off TEXT and parses it as lower-case hexadecimal. */
+/* Parses the field behind the last dash of TEXT as lower-case hexadecimal and removes it from
+ * TEXT. */
 static bool
 parse_last_hex_field (fb_str_t *text, uint64_t *value)
 {
@@ -13,7 +13,7 @@
 
   while (start > 0 && text->data[start - 1] != '-')
     start--;
-  if (start == 0 || start == text->len || text->len - start > HEX_DIGITS_MAX)
+  if (start == 0 || start == text->len || text->len - start > UINT64_HEX_DIGITS_MAX)
     return false;
   *value = 0;
   for (size_t i = start; i < text->len; i++)
--- a/packages/call/source/retry-budget.c
+++ b/packages/call/source/retry-budget.c
@@ -1,13 +1,13 @@
-/* Retry budget per service, and which attempts may be made again. */
+/* Retry budget per service, and the rule of which attempts may be retried. */
 #include "retry-window.h"
 #include <foxtailrun/call/retry.h>
 
-/* Retries allowed in each window whatever the traffic, so that a quiet service can retry: one a
- * second. */
+/* Allowed regardless of traffic, so that calls of a service with few calls can be retried; one
+ * per second. */
 #define RETRIES_PER_WINDOW_MIN 10.0
 
-/* Part of the budget that each less urgent rank leaves to the others, and the least that a rank
- * may use. */
+/* Fraction of the budget that each rank leaves to the next more urgent one, and the smallest
+ * fraction that a rank may use. */
 #define RANK_RESERVE_FRACTION 0.25
 #define RANK_USABLE_FRACTION_MIN 0.25
 
@@ -16,7 +16,7 @@
   const fb_clock_t *clock;
   double ratio;
   double floor;
-  fr_windows_t windows; /* by service, of first attempts and retries */
+  fr_windows_t windows; /* by service */
 };
 
 fr_retry_budget_t *
@@ -87,8 +87,8 @@
 bool
 fr_is_retry_safe (fw_outcome_t outcome, bool repeatable, bool has_ticket)
 {
-  /* By outcome: without a ticket on a route that is not repeatable, and on one that is. A call
-   * with a ticket belongs to one node and is never made again elsewhere. */
+  /* By outcome and whether the route is repeatable. A call with a ticket is bound to one node
+   * and is not retried on another. */
   static const bool allowed[][2] = {
     [FW_ANSWERED] = { false, false },
     [FW_NOT_RUN] = { true, true },
--- a/packages/call/source/retry-throttle.c
+++ b/packages/call/source/retry-throttle.c
@@ -1,25 +1,26 @@
-/* Adaptive throttle: refuses locally in proportion to what admission refuses. */
+/* Adaptive throttle: refuses calls locally in proportion to the refusals of admission. */
 #include "retry-window.h"
 #include <foxtailrun/call/retry.h>
 
-/* Calls let through for each accepted one. Above 1, so that a service that recovers is seen at
- * once; 2 lets a flood cost a node as many refusals as accepted calls. */
+/* Calls admitted per accepted call. Above 1, so that a recovery of the service is noticed at
+ * once; with 2 a flood costs a node as many refusals as accepted calls. */
 #define ADMITTED_PER_ACCEPTED 2.0
 
-/* Ended calls in the window before the throttle acts. */
+/* Ended calls in the window from which the throttle acts, and a customer gets its own window.
+ */
 #define SAMPLE_CALLS_MIN 20
 
-/* Longest time without a call let through while calls are offered. */
+/* Longest time without an admitted call while calls are offered. */
 #define PROBE_INTERVAL (100 * FB_MILLISECOND)
 
-/* Most windows held; calls of further customers are counted with those of the small ones. */
+/* Calls of customers beyond this number are counted in the shared window. */
 #define WINDOWS_MAX 10000
 
 struct fr_throttle
 {
   const fb_clock_t *clock;
   GRand *random;
-  fr_windows_t windows; /* by rank, service and customer, of calls ended and accepted */
+  fr_windows_t windows; /* by rank and service, and by customer unless shared */
 };
 
 fr_throttle_t *
@@ -43,7 +44,7 @@
   g_free (throttle);
 }
 
-/* Finds the window of all small customers, with CUSTOMER NULL, or of one. */
+/* Returns the window of CUSTOMER, or the shared window when CUSTOMER is NULL. */
 static fr_window_t *
 find_window (fr_throttle_t *throttle, fb_str_t service, uint32_t rank, const fb_str_t *customer)
 {
@@ -62,7 +63,7 @@
   return window;
 }
 
-/* Finds the window that decides about a call of CUSTOMER. */
+/* Returns the window by which calls of CUSTOMER are throttled. */
 static fr_window_t *
 find_throttling_window (fr_throttle_t *throttle, fb_str_t service, uint32_t rank,
                         fb_str_t customer)
@@ -72,27 +73,28 @@
   return own->counted_separately ? own : find_window (throttle, service, rank, NULL);
 }
 
-/* Counts one call of CUSTOMER that ended. A small customer is counted twice, alone and with the
- * others; when it is small no longer, the others are rid of it. */
+/* Counts one call of CUSTOMER that ended. Customers with few calls are counted in their own
+ * window and in the shared one; when a customer reaches SAMPLE_CALLS_MIN, its calls are
+ * subtracted from the shared window. */
 static void
 count_call (fr_throttle_t *throttle, fb_str_t service, uint32_t rank, fb_str_t customer,
             bool accepted)
 {
   fb_time_t now = fb_read_clock (throttle->clock);
   fr_window_t *own = find_window (throttle, service, rank, &customer);
-  fr_window_t *small;
+  fr_window_t *shared;
 
   fr_add_to_window (own, now, 1, accepted);
   if (own->counted_separately)
     return;
-  small = find_window (throttle, service, rank, NULL);
-  if (small == own)
+  shared = find_window (throttle, service, rank, NULL);
+  if (shared == own)
     return;
-  fr_add_to_window (small, now, 1, accepted);
+  fr_add_to_window (shared, now, 1, accepted);
   if (own->sum.calls < SAMPLE_CALLS_MIN)
     return;
   own->counted_separately = true;
-  fr_subtract_window (small, own);
+  fr_subtract_window (shared, own);
 }
 
 bool
@@ -109,7 +111,8 @@
       window->last_admitted_at = now;
       return true;
     }
-  /* Calls in flight are not counted before they end, or a slow service would look refusing. */
+  /* Calls in flight are counted only when they end, because a slow service would otherwise seem
+   * to refuse calls. */
   count_call (throttle, service, rank, customer, false);
   return false;
 }
--- a/packages/call/source/retry-window.c
+++ b/packages/call/source/retry-window.c
@@ -1,14 +1,14 @@
-/* Two counts over a sliding window. */
+/* Sliding windows with two counts. */
 #include "retry-window.h"
 
 const fr_window_count_t *
 fr_advance_window (fr_window_t *window, fb_time_t now)
 {
-  int64_t part = now / (FR_WINDOW_LENGTH / FR_WINDOW_BUCKETS);
+  int64_t bucket_number = now / (FR_WINDOW_LENGTH / FR_WINDOW_BUCKETS);
 
-  if (part - window->bucket_number >= FR_WINDOW_BUCKETS)
-    window->bucket_number = part - FR_WINDOW_BUCKETS;
-  while (window->bucket_number < part)
+  if (bucket_number - window->bucket_number >= FR_WINDOW_BUCKETS)
+    window->bucket_number = bucket_number - FR_WINDOW_BUCKETS;
+  while (window->bucket_number < bucket_number)
     {
       fr_window_count_t *oldest = &window->buckets[++window->bucket_number % FR_WINDOW_BUCKETS];
 
@@ -22,28 +22,28 @@
 }
 
 void
-fr_add_to_window (fr_window_t *window, fb_time_t now, uint64_t offered, uint64_t taken)
+fr_add_to_window (fr_window_t *window, fb_time_t now, uint64_t calls, uint64_t granted)
 {
-  fr_window_count_t *part;
+  fr_window_count_t *bucket;
 
   fr_advance_window (window, now);
-  part = &window->buckets[window->bucket_number % FR_WINDOW_BUCKETS];
-  part->calls += offered;
-  part->granted += taken;
-  window->sum.calls += offered;
-  window->sum.granted += taken;
+  bucket = &window->buckets[window->bucket_number % FR_WINDOW_BUCKETS];
+  bucket->calls += calls;
+  bucket->granted += granted;
+  window->sum.calls += calls;
+  window->sum.granted += granted;
 }
 
 void
-fr_subtract_window (fr_window_t *whole, const fr_window_t *part)
+fr_subtract_window (fr_window_t *total, const fr_window_t *window)
 {
   for (size_t i = 0; i < FR_WINDOW_BUCKETS; i++)
     {
-      whole->buckets[i].calls -= part->buckets[i].calls;
-      whole->buckets[i].granted -= part->buckets[i].granted;
+      total->buckets[i].calls -= window->buckets[i].calls;
+      total->buckets[i].granted -= window->buckets[i].granted;
     }
-  whole->sum.calls -= part->sum.calls;
-  whole->sum.granted -= part->sum.granted;
+  total->sum.calls -= window->sum.calls;
+  total->sum.granted -= window->sum.granted;
 }
 
 void
