--- a/packages/call/source/route-outlier.c
+++ b/packages/call/source/route-outlier.c
@@ -1,18 +1,18 @@
-/* Ejection of instances that fail several times in a row. */
+/* Ejection of failing and unreachable instances. */
 #include "route-state.h"
 
-/* Failures in a row that eject an instance. */
+/* Consecutive failures that eject an instance. */
 #define EJECT_FAILURES 5
 
-/* Length of the first ejection; each further one is that much longer, up to the maximum. */
+/* Duration of the first ejection; each further one is longer by as much, up to the maximum. */
 #define EJECT_TIME_STEP (5 * FB_SECOND)
 #define EJECT_TIME_MAX (60 * FB_SECOND)
 
-/* Largest part of the subset that may be ejected: one in so many. */
+/* At most one in so many instances of the subset is ejected for failures. */
 #define EJECT_SUBSET_DIVISOR 3
 
-/* Time for which an unreachable instance is left aside at first; doubled each time up to the
- * maximum, which a restarted node waits for at worst. */
+/* First ejection time of an unreachable instance; doubled each time. The limit of the doublings
+ * bounds the time until a restarted node gets calls again. */
 #define UNREACHABLE_EJECT_TIME (200 * FB_MILLISECOND)
 #define UNREACHABLE_DOUBLINGS_MAX 3
 
@@ -58,14 +58,14 @@
   if (instance->consecutive_failures < EJECT_FAILURES || instance->removed
       || !instance->in_subset || fr_is_ejected (instance, now))
     return;
-  /* With less than EJECT_SUBSET_DIVISOR instances nothing is ejected, so the last one always
+  /* With fewer than EJECT_SUBSET_DIVISOR instances none is ejected, so the last one always
    * stays. */
   if (fr_count_subset_ejected (service, now) + 1 > service->subset->len / EJECT_SUBSET_DIVISOR)
     return;
   instance->ejections++;
   instance->ejected_until
       = now + MIN ((fb_time_t)instance->ejections * EJECT_TIME_STEP, EJECT_TIME_MAX);
-  /* It returns through a slow start, and one failure ejects it again. */
+  /* The instance returns with a slow start, and one failure ejects it again. */
   instance->slow_start_begin = instance->ejected_until;
   instance->consecutive_failures = EJECT_FAILURES - 1;
 }
--- a/packages/call/source/route-pick.c
+++ b/packages/call/source/route-pick.c
@@ -1,4 +1,4 @@
-/* Picker: keeps the instances of each service and chooses one for each attempt. */
+/* Picker: maintains the instances of each service and picks one for each attempt. */
 #include "route-state.h"
 #include <foxtailrun/base/digest.h>
 #include <foxtailrun/base/invariant.h>
@@ -69,7 +69,7 @@
   return service;
 }
 
-/* Takes INSTANCE out of its service; it is kept while calls are in flight on it. */
+/* Removes INSTANCE from its service; the entry remains while calls are in flight on it. */
 static void
 remove_instance (fr_picker_t *picker, instance_t *instance)
 {
@@ -84,7 +84,8 @@
     g_hash_table_remove (picker->instances, instance->member.id.data);
 }
 
-/* Adds MEMBER, or an instance that was gone, as a new instance. */
+/* Adds MEMBER as a new instance; INSTANCE is its removed entry with calls in flight, or NULL.
+ */
 static void
 add_instance (fr_picker_t *picker, const fw_member_t *member, instance_t *instance)
 {
@@ -111,7 +112,7 @@
   instance->service->subset_stale = true;
 }
 
-/* Learns the region from this node's own description. */
+/* Sets the own region from this node's MEMBER record. */
 static void
 set_own_region (fr_picker_t *picker, const fw_member_t *member)
 {
@@ -130,13 +131,13 @@
 fr_update_instance (fr_picker_t *picker, const fw_member_t *member)
 {
   instance_t *instance = g_hash_table_lookup (picker->instances, member->id.data);
-  bool present
+  bool available
       = (member->state == FW_ALIVE || member->state == FW_SUSPECT) && member->service.len > 0;
-  bool moved;
+  bool location_changed;
 
   if (fb_equal_name (&member->id, &picker->self))
     set_own_region (picker, member);
-  if (!present)
+  if (!available)
     {
       if (instance != NULL)
         remove_instance (picker, instance);
@@ -149,16 +150,16 @@
     }
   if (!fb_equal_name (&instance->member.service, &member->service))
     {
-      instance->in_flight++; /* keeps the entry while it changes its service */
+      instance->in_flight++; /* keeps the entry while its service changes */
       remove_instance (picker, instance);
       instance->in_flight--;
       add_instance (picker, member, instance);
       return;
     }
-  moved = !fb_equal_name (&instance->member.zone, &member->zone)
-          || !fb_equal_name (&instance->member.region, &member->region);
+  location_changed = !fb_equal_name (&instance->member.zone, &member->zone)
+                     || !fb_equal_name (&instance->member.region, &member->region);
   instance->member = *member;
-  if (moved)
+  if (location_changed)
     instance->service->subset_stale = true;
 }
 
@@ -171,12 +172,12 @@
   return false;
 }
 
-/* Collects the instances within REACH in the given state and returns whether each of them is
- * full. */
+/* Collects the subset's instances up to MAX_DISTANCE with STATE and EJECTED; returns whether
+ * all of them are full. */
 static bool
-collect_candidates (const fr_picker_t *picker, const service_t *service, distance_t reach,
-                    fw_member_state_t state, bool ejected, const fb_name_t *excluded,
-                    size_t excluded_count, candidates_t *candidates)
+collect_candidates (const fr_picker_t *picker, const service_t *service,
+                    distance_t max_distance, fw_member_state_t state, bool ejected,
+                    const fb_name_t *excluded, size_t excluded_count, candidates_t *candidates)
 {
   fb_time_t now = fb_read_clock (picker->clock);
   bool full = true;
@@ -186,7 +187,7 @@
     {
       instance_t *instance = g_ptr_array_index (service->subset, i);
 
-      if (fr_get_distance (picker, instance) > reach || instance->member.state != state
+      if (fr_get_distance (picker, instance) > max_distance || instance->member.state != state
           || fr_is_ejected (instance, now) != ejected
           || is_excluded (instance, excluded, excluded_count))
         continue;
@@ -201,9 +202,9 @@
 fr_find_candidates (const fr_picker_t *picker, const service_t *service,
                     const fb_name_t *excluded, size_t excluded_count, candidates_t *candidates)
 {
-  for (int near = 0; near < DISTANCE_COUNT; near++)
+  for (int distance = 0; distance < DISTANCE_COUNT; distance++)
     {
-      bool full = collect_candidates (picker, service, (distance_t)near, FW_ALIVE, false,
+      bool full = collect_candidates (picker, service, (distance_t)distance, FW_ALIVE, false,
                                       excluded, excluded_count, candidates);
 
       if (candidates->count >= 2 && !full)
@@ -220,9 +221,10 @@
                         excluded_count, candidates);
 }
 
-/* Draws one candidate other than TAKEN; an instance in its slow start is drawn less often. */
+/* Draws one candidate other than DRAWN, weighted by slow start; returns NULL when there is
+ * none. */
 static instance_t *
-draw_candidate (fr_picker_t *picker, const candidates_t *candidates, const instance_t *taken,
+draw_candidate (fr_picker_t *picker, const candidates_t *candidates, const instance_t *drawn,
                 fb_time_t now)
 {
   instance_t *last = NULL;
@@ -230,12 +232,12 @@
   double point;
 
   for (size_t i = 0; i < candidates->count; i++)
-    if (candidates->instances[i] != taken)
+    if (candidates->instances[i] != drawn)
       total += fr_get_slow_start_weight (candidates->instances[i], now);
   point = g_rand_double (picker->random) * total;
   for (size_t i = 0; i < candidates->count; i++)
     {
-      if (candidates->instances[i] == taken)
+      if (candidates->instances[i] == drawn)
         continue;
       last = candidates->instances[i];
       point -= fr_get_slow_start_weight (last, now);
@@ -258,7 +260,7 @@
                                                                                       : first;
 }
 
-/* The baselines. */
+/* Picks by one of the baseline policies without scores. */
 static instance_t *
 pick_baseline (const fr_picker_t *picker, service_t *service, const candidates_t *candidates,
                fb_str_t key)
@@ -280,7 +282,7 @@
   return best;
 }
 
-/* Returns RANK within the number of ranks that a configuration may have. */
+/* Returns RANK limited to the ranks that a configuration may have. */
 static uint32_t
 clamp_rank (uint32_t rank)
 {
@@ -294,7 +296,7 @@
   instance->rank_stats[clamp_rank (rank)].in_flight++;
 }
 
-/* Collects the candidates of FR_PICK_LOCALITY, which weighs distance itself. */
+/* Collects the candidates of FR_PICK_LOCALITY at all distances. */
 static void
 collect_locality_candidates (const fr_picker_t *picker, const service_t *service,
                              const fb_name_t *excluded, size_t excluded_count,
@@ -307,8 +309,9 @@
 }
 
 bool
-fr_pick_target (fr_picker_t *picker, fb_str_t service_name, uint32_t rank, fb_time_t target,
-                const fb_name_t *excluded, size_t excluded_count, fb_name_t *picked)
+fr_pick_target (fr_picker_t *picker, fb_str_t service_name, uint32_t rank,
+                fb_time_t latency_target, const fb_name_t *excluded, size_t excluded_count,
+                fb_name_t *picked)
 {
   service_t *service = fr_find_service (picker, service_name);
   candidates_t candidates;
@@ -322,7 +325,7 @@
   collect_locality_candidates (picker, service, excluded, excluded_count, &candidates);
   if (candidates.count == 0)
     return false;
-  instance = fr_pick_by_locality (picker, &candidates, clamp_rank (rank), target,
+  instance = fr_pick_by_locality (picker, &candidates, clamp_rank (rank), latency_target,
                                   excluded_count > 0, fb_read_clock (picker->clock));
   if (instance == NULL)
     return false;
@@ -382,15 +385,15 @@
 {
   instance_t *instance = g_hash_table_lookup (picker->instances, name->data);
   fb_time_t now = fb_read_clock (picker->clock);
-  rank_stats_t *traffic;
+  rank_stats_t *stats;
 
   if (instance == NULL)
     return;
-  traffic = &instance->rank_stats[clamp_rank (rank)];
-  /* A call that began before the instance was known is not counted in flight. */
-  if (traffic->in_flight > 0)
+  stats = &instance->rank_stats[clamp_rank (rank)];
+  /* A call that began before the instance was added is not counted in flight. */
+  if (stats->in_flight > 0)
     {
-      traffic->in_flight--;
+      stats->in_flight--;
       instance->in_flight--;
     }
   if (result == FR_RESULT_ANSWERED || result == FR_RESULT_FAILED)
@@ -418,12 +421,12 @@
 }
 
 void
-fr_avoid_until (fr_picker_t *picker, const fb_name_t *name, fb_time_t time)
+fr_avoid_until (fr_picker_t *picker, const fb_name_t *name, fb_time_t until)
 {
   instance_t *instance = g_hash_table_lookup (picker->instances, name->data);
 
   if (instance != NULL)
-    instance->ejected_until = MAX (instance->ejected_until, time);
+    instance->ejected_until = MAX (instance->ejected_until, until);
 }
 
 size_t
--- a/packages/call/source/route-score.c
+++ b/packages/call/source/route-score.c
@@ -1,35 +1,32 @@
-/* What one more call on an instance is expected to cost. */
+/* Score of an instance: the expected cost of another call. */
 #include "route-state.h"
 #include <math.h>
 
-/* Largest step, in the logarithm, that one more sample moves a latency by. A median moves by
- * the same step whatever the sample, so that a few long calls do not divert the others. */
+/* Largest change of a logarithmic latency by one sample. The step does not depend on the
+ * sample's size, so that a few long calls do not divert the others. */
 #define LOG_LATENCY_STEP 0.05
 
-/* A failed attempt counts as so many times the average latency. */
+/* A failed attempt counts as at least this multiple of the median latency. */
 #define FAILURE_LATENCY_FACTOR 2.0
 
-/* Range of the latencies taken as a sample. */
 #define LATENCY_SAMPLE_MIN FB_MICROSECOND
 #define LATENCY_SAMPLE_MAX (10 * FB_SECOND)
 
-/* Without samples an average returns to that of the service within this time constant, so that
- * an instance that was slow once is tried again. */
+/* Time constant by which a median without samples decays to that of the service, so that an
+ * instance that was slow is picked again. */
 #define LATENCY_DECAY_TIME (5 * FB_SECOND)
 
-/* A reported load counts for this long. */
 #define LOAD_REPORT_LIFETIME FB_SECOND
 
-/* Largest load that counts: beyond that it is the length of the least urgent queue. */
+/* Larger loads count as this, because they are mostly the queue of the least urgent rank. */
 #define LOAD_PERMILLE_MAX 2000
 
-/* Weight of an idle instance relative to one with every slot in use, which has 1. */
+/* Cost factor of an idle instance; one with all slots in use has 1. */
 #define IDLE_LOAD_FACTOR 0.5
 
-/* Part that an instance gets at the begin of its slow start. */
 #define SLOW_START_WEIGHT_MIN 0.1
 
-/* Moves the median MEDIAN of logarithms one step towards SAMPLE; 0 stands for no sample yet. */
+/* Returns MEDIAN moved at most one step towards SAMPLE; 0 stands for no sample. */
 static double
 step_median (double median, double sample)
 {
@@ -43,22 +40,22 @@
                    fb_time_t now)
 {
   double sample = log ((double)CLAMP (latency, LATENCY_SAMPLE_MIN, LATENCY_SAMPLE_MAX));
-  rank_stats_t *traffic = &instance->rank_stats[rank];
-  double *usual = &instance->service->log_latencies[rank];
+  rank_stats_t *stats = &instance->rank_stats[rank];
+  double *service_latency = &instance->service->log_latencies[rank];
 
-  /* A failure is quick; without the penalty it would attract calls. */
-  if (failed && traffic->log_latency > 0)
-    sample = MIN (MAX (sample, traffic->log_latency + log (FAILURE_LATENCY_FACTOR)),
+  /* Failures are often fast; without the factor they would attract calls. */
+  if (failed && stats->log_latency > 0)
+    sample = MIN (MAX (sample, stats->log_latency + log (FAILURE_LATENCY_FACTOR)),
                   log ((double)LATENCY_SAMPLE_MAX));
-  traffic->log_latency = step_median (traffic->log_latency, sample);
-  traffic->latency_sampled_at = now;
-  *usual = step_median (*usual, sample);
+  stats->log_latency = step_median (stats->log_latency, sample);
+  stats->latency_sampled_at = now;
+  *service_latency = step_median (*service_latency, sample);
 }
 
 void
-fr_sample_service_time (instance_t *instance, uint32_t rank, fb_time_t service)
+fr_sample_service_time (instance_t *instance, uint32_t rank, fb_time_t service_time)
 {
-  double sample = log ((double)CLAMP (service, LATENCY_SAMPLE_MIN, LATENCY_SAMPLE_MAX));
+  double sample = log ((double)CLAMP (service_time, LATENCY_SAMPLE_MIN, LATENCY_SAMPLE_MAX));
 
   instance->rank_stats[rank].log_service_time
       = step_median (instance->rank_stats[rank].log_service_time, sample);
@@ -75,26 +72,26 @@
 double
 fr_get_slow_start_weight (const instance_t *instance, fb_time_t now)
 {
-  double part = (double)(now - instance->slow_start_begin) / (double)SLOW_START_DURATION;
+  double elapsed_fraction
+      = (double)(now - instance->slow_start_begin) / (double)SLOW_START_DURATION;
 
-  return CLAMP (part, SLOW_START_WEIGHT_MIN, 1.0);
+  return CLAMP (elapsed_fraction, SLOW_START_WEIGHT_MIN, 1.0);
 }
 
 double
 fr_score_instance (const instance_t *instance, uint32_t rank, fb_time_t now)
 {
-  const rank_stats_t *traffic = &instance->rank_stats[rank];
+  const rank_stats_t *stats = &instance->rank_stats[rank];
   double latency = instance->service->log_latencies[rank];
   double load = IDLE_LOAD_FACTOR;
-  uint32_t ahead = 0;
+  uint32_t calls_ahead = 0;
 
   for (uint32_t i = 0; i <= rank; i++)
-    ahead += instance->rank_stats[i].in_flight;
-  if (traffic->log_latency > 0)
-    latency
-        += (traffic->log_latency - latency)
-           * exp (-(double)(now - traffic->latency_sampled_at) / (double)LATENCY_DECAY_TIME);
+    calls_ahead += instance->rank_stats[i].in_flight;
+  if (stats->log_latency > 0)
+    latency += (stats->log_latency - latency)
+               * exp (-(double)(now - stats->latency_sampled_at) / (double)LATENCY_DECAY_TIME);
   if (now - instance->load_reported_at < LOAD_REPORT_LIFETIME)
     load += MIN (instance->load, LOAD_PERMILLE_MAX) * (1 - IDLE_LOAD_FACTOR) / 1000;
-  return (ahead + 1) * exp (latency) * load;
+  return (calls_ahead + 1) * exp (latency) * load;
 }
--- a/packages/call/source/route-split.c
+++ b/packages/call/source/route-split.c
@@ -3,33 +3,34 @@
 #include <glib.h>
 #include <string.h>
 
-/* Routes whose state is held; beyond this all start anew, which costs one call of precision. */
+/* Limit of stored route states. Beyond it all are reset, which costs one call of accuracy per
+ * route. */
 #define ROUTES_MAX 10000
 
-/* Bound on the random number of turns that a node skips at the start. */
+/* Upper bound of the random number of picks skipped for a new state. */
 #define START_OFFSET_MAX 100
 
 typedef struct
 {
-  fc_part_t *parts; /* as they were when the credits started */
-  int64_t *credits; /* by part: calls owed, in units of weight */
+  fc_part_t *parts; /* copy of the route's parts */
+  int64_t *credits; /* by part: calls due, in units of weight */
   size_t count;
 } split_state_t;
 
 struct fr_splitter
 {
-  GHashTable *states; /* split_state_t by name of the route */
+  GHashTable *states; /* route name -> split_state_t */
   GRand *random;
 };
 
 static void
 free_state (void *data)
 {
-  split_state_t *turn = data;
+  split_state_t *state = data;
 
-  g_free (turn->parts);
-  g_free (turn->credits);
-  g_free (turn);
+  g_free (state->parts);
+  g_free (state->credits);
+  g_free (state);
 }
 
 fr_splitter_t *
@@ -53,55 +54,55 @@
 }
 
 static bool
-matches_route (const split_state_t *turn, const fc_route_t *route)
+matches_route (const split_state_t *state, const fc_route_t *route)
 {
-  return turn->count == route->part_count
-         && memcmp (turn->parts, route->parts, turn->count * sizeof *turn->parts) == 0;
+  return state->count == route->part_count
+         && memcmp (state->parts, route->parts, state->count * sizeof *state->parts) == 0;
 }
 
-/* Returns the part that takes the next call. */
+/* Returns the index of the part for the next call. */
 static size_t
-take_turn (split_state_t *turn)
+pick_next_part (split_state_t *state)
 {
   int64_t total = 0;
   size_t best = 0;
 
-  for (size_t i = 0; i < turn->count; i++)
+  for (size_t i = 0; i < state->count; i++)
     {
-      turn->credits[i] += turn->parts[i].weight;
-      total += turn->parts[i].weight;
-      if (turn->credits[i] > turn->credits[best])
+      state->credits[i] += state->parts[i].weight;
+      total += state->parts[i].weight;
+      if (state->credits[i] > state->credits[best])
         best = i;
     }
-  turn->credits[best] -= total;
+  state->credits[best] -= total;
   return best;
 }
 
 static split_state_t *
 create_state (fr_splitter_t *splitter, const fc_route_t *route)
 {
-  split_state_t *turn = g_new0 (split_state_t, 1);
+  split_state_t *state = g_new0 (split_state_t, 1);
 
-  turn->count = route->part_count;
-  turn->parts = g_memdup2 (route->parts, turn->count * sizeof *turn->parts);
-  turn->credits = g_new0 (int64_t, turn->count);
+  state->count = route->part_count;
+  state->parts = g_memdup2 (route->parts, state->count * sizeof *state->parts);
+  state->credits = g_new0 (int64_t, state->count);
   for (int skip = g_rand_int_range (splitter->random, 0, START_OFFSET_MAX); skip > 0; skip--)
-    take_turn (turn);
+    pick_next_part (state);
   if (g_hash_table_size (splitter->states) >= ROUTES_MAX)
     g_hash_table_remove_all (splitter->states);
-  g_hash_table_replace (splitter->states, g_strdup (route->name.data), turn);
-  return turn;
+  g_hash_table_replace (splitter->states, g_strdup (route->name.data), state);
+  return state;
 }
 
 uint32_t
 fr_split_call (fr_splitter_t *splitter, const fc_route_t *route)
 {
-  split_state_t *turn;
+  split_state_t *state;
 
   if (route->part_count == 0)
     return route->service;
-  turn = g_hash_table_lookup (splitter->states, route->name.data);
-  if (turn == NULL || !matches_route (turn, route))
-    turn = create_state (splitter, route);
-  return turn->parts[take_turn (turn)].service;
+  state = g_hash_table_lookup (splitter->states, route->name.data);
+  if (state == NULL || !matches_route (state, route))
+    state = create_state (splitter, route);
+  return state->parts[pick_next_part (state)].service;
 }
--- a/packages/call/source/route-state.h
+++ b/packages/call/source/route-state.h
@@ -6,17 +6,16 @@
 #include <foxtailrun/config/snapshot.h>
 #include <glib.h>
 
-/* Most instances of one service that a node sends to. */
+/* Number of instances of one service that a node sends calls to. */
 #define SUBSET_SIZE_MAX 16
 
-/* Places of the subset kept for the own zone and for the rest of the own region. */
+/* Places in the subset for instances of the same zone and of other zones of the same region. */
 #define SUBSET_ZONE_QUOTA 10
 #define SUBSET_REGION_QUOTA 4
 
-/* Time over which a new or returned instance gets its full part. */
+/* Time over which the calls to a new or returned instance ramp up. */
 #define SLOW_START_DURATION (10 * FB_SECOND)
 
-/* How far an instance is away. */
 typedef enum
 {
   DISTANCE_SAME_ZONE,
@@ -27,14 +26,15 @@
 
 typedef struct service service_t;
 
-/* What was observed of one rank at one instance. */
+/* Statistics of one rank at one instance. */
 typedef struct
 {
   uint32_t in_flight;
-  double log_latency; /* moving median of the logarithm of ns; 0 before the first sample */
-  fb_time_t latency_sampled_at; /* of the last sample */
-  double log_service_time;      /* the same of the time at the backend server */
-  fb_time_t expected_wait;      /* that a call may expect, as last reported */
+  double log_latency; /* moving median of the logarithm of the latency in ns; 0 before the first
+                         sample */
+  fb_time_t latency_sampled_at;
+  double log_service_time; /* like log_latency, of the time at the backend server */
+  fb_time_t expected_wait; /* of the next call, as last reported */
   fb_time_t wait_reported_at;
 } rank_stats_t;
 
@@ -42,27 +42,27 @@
 {
   fw_member_t member;
   service_t *service;
-  uint64_t rendezvous_weight; /* rendezvous weight for this node */
-  bool removed;               /* left or dead, and kept only for the calls in flight */
+  uint64_t rendezvous_weight; /* of this node and the instance */
+  bool removed;               /* left or dead; the entry remains for its calls in flight */
   bool in_subset;
   uint32_t in_flight; /* of all ranks */
   rank_stats_t rank_stats[FC_RANKS_MAX];
   uint32_t load; /* per 1,000 slots, as last reported */
   fb_time_t load_reported_at;
-  fb_time_t slow_start_begin;    /* start of the slow start */
-  uint32_t consecutive_failures; /* in a row */
-  uint32_t ejections;
-  uint32_t consecutive_unreachable; /* in a row */
-  fb_time_t ejected_until;          /* 0 when not ejected */
+  fb_time_t slow_start_begin;
+  uint32_t consecutive_failures;
+  uint32_t ejections; /* since the last successful attempt */
+  uint32_t consecutive_unreachable;
+  fb_time_t ejected_until; /* 0 when not ejected */
 } instance_t;
 
 struct service
 {
   char *name;
-  GPtrArray *instances; /* instance_t that are not gone */
-  GPtrArray *subset;    /* of the above, at most SUBSET_SIZE_MAX; valid unless stale */
-  bool subset_stale;    /* the instances changed since the subset was chosen */
-  double log_latencies[FC_RANKS_MAX]; /* by rank, over all instances */
+  GPtrArray *instances; /* instance_t that are not removed */
+  GPtrArray *subset;    /* of instances, at most SUBSET_SIZE_MAX; valid unless subset_stale */
+  bool subset_stale;    /* instances changed since the subset was chosen */
+  double log_latencies[FC_RANKS_MAX]; /* by rank, of all instances, as in rank_stats_t */
   double log_service_times[FC_RANKS_MAX];
   uint64_t round_robin_next; /* FR_PICK_ROUND_ROBIN */
 };
@@ -72,14 +72,14 @@
   fr_pick_policy_t policy;
   fb_name_t self;
   fb_name_t zone;
-  fb_name_t region; /* learnt from this node's own description; empty before */
+  fb_name_t region; /* from this node's own member record; empty before */
   const fb_clock_t *clock;
   GRand *random;
   GHashTable *instances; /* id -> instance_t */
   GHashTable *services;  /* name -> service_t */
 };
 
-/* Instances that a pick chooses from. */
+/* The instances that a pick chooses from. */
 typedef struct
 {
   instance_t *instances[SUBSET_SIZE_MAX];
@@ -88,62 +88,64 @@
 
 /* route-pick.c */
 
-/* Finds a service and brings its subset up to date; NULL when there is none of that NAME. */
+/* Returns the service NAME with its subset refreshed, or NULL. */
 service_t *fr_find_service (const fr_picker_t *picker, fb_str_t name);
 
-/* Collects the own zone first, then further away; ejected and suspect instances come last. */
+/* Collects CANDIDATES from the same zone, or from farther away when the nearer ones are fewer
+ * than two or full; ejected and suspect instances only when there are no others. */
 void fr_find_candidates (const fr_picker_t *picker, const service_t *service,
                          const fb_name_t *excluded, size_t excluded_count,
                          candidates_t *candidates);
 
-/* route-near.c */
+/* route-locality.c */
 
-/* Chooses among CANDIDATES, of which there is at least one, for a call with latency TARGET.
- * Returns NULL for a call that was TRIED before when only a detour is left and would end late.
+/* Picks one of CANDIDATES, of which there is at least one, for a call with LATENCY_TARGET.
+ * Returns NULL for a retry when only instances of other zones remain and would miss the target.
  */
 instance_t *fr_pick_by_locality (fr_picker_t *picker, const candidates_t *candidates,
-                                 uint32_t rank, fb_time_t target, bool tried, fb_time_t now);
+                                 uint32_t rank, fb_time_t latency_target, bool is_retry,
+                                 fb_time_t now);
 
 /* route-subset.c */
 
-/* Returns how far INSTANCE is away. */
+/* Returns the distance of INSTANCE; while the own region is unknown all other zones count as
+ * the same region. */
 distance_t fr_get_distance (const fr_picker_t *picker, const instance_t *instance);
 
-/* Chooses the instances of SERVICE that this node sends to when they have changed; needed
- * before each use of the subset. Doing it at the use keeps a herd of new members from sorting a
- * large service once for each of them. */
+/* Chooses the subset of SERVICE when its instances have changed; to be called before each use
+ * of the subset. It is chosen on use because sorting the instances at each change is too slow
+ * when many members of a large service join at once. */
 void fr_refresh_subset (const fr_picker_t *picker, service_t *service);
 
 /* route-outlier.c */
 
-/* Returns whether INSTANCE is ejected now. */
 bool fr_is_ejected (const instance_t *instance, fb_time_t now);
 
-/* Counts a good or failed attempt and ejects INSTANCE when it fails too often in a row. */
+/* Counts an attempt and ejects INSTANCE after EJECT_FAILURES consecutive failures. */
 void fr_record_attempt (instance_t *instance, bool failed, fb_time_t now);
 
-/* Leaves INSTANCE aside for a short time that grows while it stays unreachable. */
+/* Ejects an unreachable INSTANCE for a short time that doubles while it stays unreachable. */
 void fr_eject_unreachable (instance_t *instance, fb_time_t now);
 
-/* Returns how many instances of the subset of SERVICE are ejected. */
+/* Returns the number of ejected instances in the subset of SERVICE. */
 size_t fr_count_subset_ejected (const service_t *service, fb_time_t now);
 
 /* route-score.c */
 
-/* Takes one sample of the latency of RANK; a failure never makes an instance look faster. */
+/* Adds a sample of the latency of RANK; a failed attempt never lowers the latency. */
 void fr_sample_latency (instance_t *instance, uint32_t rank, fb_time_t latency, bool failed,
                         fb_time_t now);
 
-/* Takes one sample of the time at the backend server. */
-void fr_sample_service_time (instance_t *instance, uint32_t rank, fb_time_t service);
+/* Adds a sample of the time at the backend server. */
+void fr_sample_service_time (instance_t *instance, uint32_t rank, fb_time_t service_time);
 
-/* Returns the expected cost of one more call of RANK on INSTANCE; the lower is better. */
+/* Returns the expected cost of another call of RANK on INSTANCE; lower is better. */
 double fr_score_instance (const instance_t *instance, uint32_t rank, fb_time_t now);
 
-/* Returns the part, 0 to 1, that INSTANCE gets during its slow start. */
+/* Returns the weight of INSTANCE by its slow start, at most 1. */
 double fr_get_slow_start_weight (const instance_t *instance, fb_time_t now);
 
-/* Returns whether a recent report says that every slot of INSTANCE is in use. */
+/* Returns whether INSTANCE recently reported that all its slots are in use. */
 bool fr_is_full (const instance_t *instance, fb_time_t now);
 
 #endif
--- a/packages/call/source/route-subset.c
+++ b/packages/call/source/route-subset.c
@@ -1,4 +1,4 @@
-/* The part of a service that one node sends to. */
+/* Choice of the subset of a service that one node sends calls to. */
 #include "route-state.h"
 
 distance_t
@@ -22,15 +22,16 @@
   return fb_compare_names (&left->member.id, &right->member.id);
 }
 
-/* Adds up to COUNT instances that are NEAR and not yet in the subset. */
+/* Adds up to COUNT instances at DISTANCE that are not yet in the subset. */
 static void
-add_at_distance (const fr_picker_t *picker, service_t *service, distance_t near, size_t count)
+add_at_distance (const fr_picker_t *picker, service_t *service, distance_t distance,
+                 size_t count)
 {
   for (size_t i = 0; i < service->instances->len && count > 0; i++)
     {
       instance_t *instance = g_ptr_array_index (service->instances, i);
 
-      if (instance->in_subset || fr_get_distance (picker, instance) != near)
+      if (instance->in_subset || fr_get_distance (picker, instance) != distance)
         continue;
       instance->in_subset = true;
       g_ptr_array_add (service->subset, instance);
@@ -52,10 +53,11 @@
   for (size_t i = 0; i < service->instances->len; i++)
     ((instance_t *)g_ptr_array_index (service->instances, i))->in_subset = false;
   g_ptr_array_sort (service->instances, compare_weights);
-  /* Each distance keeps some places, so that calls can spill over when the zone is full or
-   * gone; places left over go to the nearest. */
-  for (int near = 0; near < DISTANCE_COUNT; near++)
-    add_at_distance (picker, service, (distance_t)near, quotas[near]);
-  for (int near = 0; near < DISTANCE_COUNT; near++)
-    add_at_distance (picker, service, (distance_t)near, SUBSET_SIZE_MAX - service->subset->len);
+  /* Each distance has a quota, so that calls can spill over when the zone is full or down;
+   * unused places go to the nearest instances. */
+  for (int distance = 0; distance < DISTANCE_COUNT; distance++)
+    add_at_distance (picker, service, (distance_t)distance, quotas[distance]);
+  for (int distance = 0; distance < DISTANCE_COUNT; distance++)
+    add_at_distance (picker, service, (distance_t)distance,
+                     SUBSET_SIZE_MAX - service->subset->len);
 }
--- a/packages/call/source/route-visit.c
+++ b/packages/call/source/route-visit.c
@@ -1,5 +1,4 @@
-/* The instances of a service in the order in which the picker prefers them, for explanations.
- */
+/* Instances of a service in the picker's order of preference, for diagnostics. */
 #include "route-state.h"
 
 static void
