--- a/packages/call/tests/fixture-service.c
+++ b/packages/call/tests/fixture-service.c
@@ -1,18 +1,18 @@
-/* The fake service: events, network, faults and the final state. */
+/* Simulated service: events, network, faults and checks of the final state. */
 #include "fixture-service.h"
-#include "fixture-world.h"
+#include "fixture-simulation.h"
 #include "route-state.h"
 
-/* Requests arrive for this long, faults happen for that long, and the world ends when all
- * waiting must have ended. */
-#define ARRIVALS (10 * FB_SECOND)
+#define ARRIVALS_END (10 * FB_SECOND)
 #define FLOOD_START (3 * FB_SECOND)
 #define FLOOD_DURATION (200 * FB_MILLISECOND)
-#define FAULTS (12 * FB_SECOND)
-#define END (60 * FB_SECOND)
+#define FAULTS_END (12 * FB_SECOND)
 
-#define TICK (10 * FB_MILLISECOND)
-#define CALLER_PATIENCE (700 * FB_MILLISECOND)
+/* By then all calls, timeouts and retries must have ended. */
+#define SIMULATION_END (60 * FB_SECOND)
+
+#define TICK_INTERVAL (10 * FB_MILLISECOND)
+#define CALLER_TIMEOUT (700 * FB_MILLISECOND)
 
 static int
 compare_events (const void *a, const void *b, void *user)
@@ -26,40 +26,44 @@
 }
 
 event_t *
-add_event (world_t *world, event_kind_t kind, uint32_t node, fb_time_t delay)
+add_event (simulation_t *simulation, event_kind_t kind, uint32_t node, fb_time_t delay)
 {
   event_t *event = g_new0 (event_t, 1);
 
   event->kind = kind;
   event->node = node;
-  event->time = fb_read_clock (world->clock) + delay;
-  event->order = world->orders++;
-  g_sequence_insert_sorted (world->events, event, compare_events, NULL);
+  event->time = fb_read_clock (simulation->clock) + delay;
+  event->order = simulation->next_order++;
+  g_sequence_insert_sorted (simulation->events, event, compare_events, NULL);
   return event;
 }
 
 bool
-draw (world_t *world, double probability)
+draw_chance (simulation_t *simulation, double probability)
 {
-  return g_rand_double (world->random) < probability;
+  return g_rand_double (simulation->random) < probability;
 }
 
-/* Sends a message that may get lost, arrive twice, or arrive late; none crosses a partition. */
+/* Sends MESSAGE, which may be lost, duplicated or delayed; none crosses a partition. */
 void
 send_event (const node_t *from, const event_t *message)
 {
-  world_t *world = from->world;
-  bool crosses = ((world->split >> from->index ^ world->split >> message->node) & 1) != 0;
-  int copies = draw (world, 0.03) ? 2 : 1;
-
-  if (draw (world, 0.03) || (crosses && fb_read_clock (world->clock) < world->split_until))
+  simulation_t *simulation = from->simulation;
+  bool crosses_partition = ((simulation->partition_mask >> from->index
+                             ^ simulation->partition_mask >> message->node)
+                            & 1)
+                           != 0;
+  int copies = draw_chance (simulation, 0.03) ? 2 : 1;
+
+  if (draw_chance (simulation, 0.03)
+      || (crosses_partition && fb_read_clock (simulation->clock) < simulation->partition_until))
     return;
   for (int i = 0; i < copies; i++)
     {
-      int late = draw (world, 0.05) ? 1500 : 5;
-      event_t *event
-          = add_event (world, message->kind, message->node,
-                       (fb_time_t)g_rand_int_range (world->random, 1, late) * FB_MILLISECOND);
+      int delay_max_ms = draw_chance (simulation, 0.05) ? 1500 : 5;
+      event_t *event = add_event (
+          simulation, message->kind, message->node,
+          (fb_time_t)g_rand_int_range (simulation->random, 1, delay_max_ms) * FB_MILLISECOND);
       fb_time_t time = event->time;
       uint64_t order = event->order;
 
@@ -69,14 +73,15 @@
     }
 }
 
-/* Lets all nodes hear about NODE, each with its own lag. */
+/* Announces STATE of NODE to all nodes, each after a random delay. */
 static void
-spread_state (world_t *world, uint32_t node, fw_member_state_t state)
+announce_state (simulation_t *simulation, uint32_t node, fw_member_state_t state)
 {
   for (uint32_t i = 0; i < NODES; i++)
     {
-      fb_time_t lag = (fb_time_t)g_rand_int_range (world->random, 0, 2000) * FB_MILLISECOND;
-      event_t *event = add_event (world, EVENT_LEARN, i, lag);
+      fb_time_t delay
+          = (fb_time_t)g_rand_int_range (simulation->random, 0, 2000) * FB_MILLISECOND;
+      event_t *event = add_event (simulation, EVENT_MEMBER_UPDATE, i, delay);
 
       event->number = node;
       event->state = state;
@@ -84,9 +89,9 @@
 }
 
 static void
-learn_state (node_t *node, uint32_t number, fw_member_state_t state)
+apply_member_state (node_t *node, uint32_t number, fw_member_state_t state)
 {
-  fw_member_t member = { .id = node->world->nodes[number].id, .state = state };
+  fw_member_t member = { .id = node->simulation->nodes[number].id, .state = state };
 
   member.zone = fb_make_name (number % 2 == 0 ? "zone-0" : "zone-1");
   member.region = fb_make_name ("region");
@@ -95,117 +100,120 @@
 }
 
 static void
-begin_node (node_t *node)
+join_node (node_t *node)
 {
-  world_t *world = node->world;
+  simulation_t *simulation = node->simulation;
 
   start_node (node);
   for (uint32_t i = 0; i < NODES; i++)
-    if (world->nodes[i].start_id != 0)
-      learn_state (node, i, FW_ALIVE);
-  spread_state (world, node->index, FW_ALIVE);
+    if (simulation->nodes[i].start_id != 0)
+      apply_member_state (node, i, FW_ALIVE);
+  announce_state (simulation, node->index, FW_ALIVE);
 }
 
-/* Kills NODE after DELAY and starts it again some time later. */
+/* Kills NODE after DELAY and restarts it after a random time. */
 static void
-plan_restart (node_t *node, fb_time_t delay)
+schedule_restart (node_t *node, fb_time_t delay)
 {
-  event_t *event = add_event (node->world, EVENT_KILL, node->index, delay);
+  event_t *event = add_event (node->simulation, EVENT_KILL, node->index, delay);
 
   event->start_id = node->start_id;
-  add_event (
-      node->world, EVENT_START, node->index,
-      delay + (fb_time_t)g_rand_int_range (node->world->random, 10, 2000) * FB_MILLISECOND);
+  add_event (node->simulation, EVENT_START, node->index,
+             delay
+                 + (fb_time_t)g_rand_int_range (node->simulation->random, 10, 2000)
+                       * FB_MILLISECOND);
 }
 
-/* Does something bad to a random node. */
+/* Injects a random fault at a random node. */
 static void
-run_fault (world_t *world)
+inject_fault (simulation_t *simulation)
 {
-  static const fr_rank_options_t rules[RANKS] = { { 0.2 }, { 0.2 }, { 0.6 } };
-  uint32_t index = (uint32_t)g_rand_int_range (world->random, 0, NODES);
-  node_t *node = &world->nodes[index];
+  static const fr_rank_options_t rank_options[RANKS] = { { 0.2 }, { 0.2 }, { 0.6 } };
+  uint32_t index = (uint32_t)g_rand_int_range (simulation->random, 0, NODES);
+  node_t *node = &simulation->nodes[index];
 
-  if (fb_read_clock (world->clock) < FAULTS)
-    add_event (world, EVENT_FAULT, 0,
-               (fb_time_t)g_rand_int_range (world->random, 100, 2500) * FB_MILLISECOND);
+  if (fb_read_clock (simulation->clock) < FAULTS_END)
+    add_event (simulation, EVENT_FAULT, 0,
+               (fb_time_t)g_rand_int_range (simulation->random, 100, 2500) * FB_MILLISECOND);
   if (node->start_id == 0 || node->draining)
     return;
-  switch (g_rand_int_range (world->random, 0, 7))
+  switch (g_rand_int_range (simulation->random, 0, 7))
     {
     case 0:
-      spread_state (world, index, FW_DEAD);
+      announce_state (simulation, index, FW_DEAD);
       node->draining = true;
-      plan_restart (node, 0);
+      schedule_restart (node, 0);
       break;
     case 1:
-      spread_state (world, index, FW_LEAVING);
+      announce_state (simulation, index, FW_LEAVING);
       node->draining = true;
       fr_drain_admission (node->admission);
-      plan_restart (node, FB_SECOND);
+      schedule_restart (node, FB_SECOND);
       break;
     case 2:
       node->paused_until
-          = fb_read_clock (world->clock)
-            + (fb_time_t)g_rand_int_range (world->random, 100, 3000) * FB_MILLISECOND;
+          = fb_read_clock (simulation->clock)
+            + (fb_time_t)g_rand_int_range (simulation->random, 100, 3000) * FB_MILLISECOND;
       break;
     case 3:
-      world->failing = (world->failing + 1) % (NODES * 2);
+      simulation->failing_node = (simulation->failing_node + 1) % (NODES * 2);
       break;
     case 4:
-      world->shedding = (world->shedding + 1) % (NODES * 2);
+      simulation->shedding_node = (simulation->shedding_node + 1) % (NODES * 2);
       break;
     case 5:
-      world->split = (uint32_t)g_rand_int_range (world->random, 1, 1 << NODES);
-      world->split_until = fb_read_clock (world->clock)
-                           + (fb_time_t)g_rand_int_range (world->random, 1, 4) * FB_SECOND;
+      simulation->partition_mask
+          = (uint32_t)g_rand_int_range (simulation->random, 1, 1 << NODES);
+      simulation->partition_until
+          = fb_read_clock (simulation->clock)
+            + (fb_time_t)g_rand_int_range (simulation->random, 1, 4) * FB_SECOND;
       break;
     default:
-      /* Running calls keep their slots when these become fewer. */
-      node->slots = MAX (node->running, (uint32_t)g_rand_int_range (world->random, 2, 6));
-      fr_configure_admission (node->admission, node->slots, rules,
-                              (size_t)g_rand_int_range (world->random, 1, RANKS + 1));
+      /* Not fewer slots than running calls, which keep theirs. */
+      node->slots = MAX (node->running, (uint32_t)g_rand_int_range (simulation->random, 2, 6));
+      fr_configure_admission (node->admission, node->slots, rank_options,
+                              (size_t)g_rand_int_range (simulation->random, 1, RANKS + 1));
       break;
     }
 }
 
 static void
-send_request (world_t *world, node_t *node, const event_t *event)
+send_request (simulation_t *simulation, node_t *node, const event_t *event)
 {
-  const request_t *request = &world->requests[event->request];
-  event_t *give_up = add_event (world, EVENT_GIVE_UP, 0, CALLER_PATIENCE);
+  const request_t *request = &simulation->requests[event->request];
+  event_t *timeout = add_event (simulation, EVENT_CALLER_TIMEOUT, 0, CALLER_TIMEOUT);
 
-  give_up->request = request->index;
-  give_up->number = request->tries;
+  timeout->request = request->index;
+  timeout->number = request->attempts;
   if (node->start_id != 0)
     handle_request (node, event);
 }
 
 static void
-run_event (world_t *world, const event_t *event)
+run_event (simulation_t *simulation, const event_t *event)
 {
-  node_t *node = &world->nodes[event->node];
+  node_t *node = &simulation->nodes[event->node];
   bool up = node->start_id != 0 && (event->start_id == 0 || event->start_id == node->start_id);
 
   switch (event->kind)
     {
     case EVENT_REQUEST:
-      send_request (world, node, event);
+      send_request (simulation, node, event);
       return;
-    case EVENT_GIVE_UP:
-      handle_caller_reply (world, event->request, event->number, FW_UNKNOWN, "", "");
+    case EVENT_CALLER_TIMEOUT:
+      handle_caller_outcome (simulation, event->request, event->number, FW_UNKNOWN, "", "");
       return;
     case EVENT_FAULT:
-      run_fault (world);
+      inject_fault (simulation);
       return;
     case EVENT_START:
-      begin_node (node);
+      join_node (node);
       return;
     default:
       break;
     }
   if (event->kind == EVENT_TICK)
-    add_event (world, EVENT_TICK, node->index, TICK);
+    add_event (simulation, EVENT_TICK, node->index, TICK_INTERVAL);
   if (!up)
     return;
   if (event->kind == EVENT_CALL)
@@ -218,60 +226,62 @@
     handle_timeout (node, event);
   else if (event->kind == EVENT_FINISH)
     handle_finish (node, event);
-  else if (event->kind == EVENT_LEARN)
-    learn_state (node, event->number, event->state);
+  else if (event->kind == EVENT_MEMBER_UPDATE)
+    apply_member_state (node, event->number, event->state);
   else if (event->kind == EVENT_TICK)
     fr_tick_admission (node->admission);
   else if (event->kind == EVENT_KILL)
     {
-      world->totals[TOTAL_RESTARTED]++;
+      simulation->totals[TOTAL_RESTARTED]++;
       kill_node (node);
     }
 }
 
-/* Runs all events before END; those of a paused node wait for its return. */
+/* Runs all events before SIMULATION_END; those of a paused node are postponed to the end of its
+ * pause. */
 static void
-run_events (world_t *world)
+run_events (simulation_t *simulation)
 {
   while (true)
     {
-      GSequenceIter *first = g_sequence_get_begin_iter (world->events);
+      GSequenceIter *first = g_sequence_get_begin_iter (simulation->events);
       event_t *event = g_sequence_get (first);
-      fb_time_t paused = world->nodes[event->node].paused_until;
+      fb_time_t paused = simulation->nodes[event->node].paused_until;
 
-      if (event->time >= END)
+      if (event->time >= SIMULATION_END)
         return;
       g_sequence_remove (first);
-      if (event->time < paused && event->kind != EVENT_GIVE_UP && event->kind != EVENT_FAULT
-          && event->kind != EVENT_START && event->kind != EVENT_KILL)
+      if (event->time < paused && event->kind != EVENT_CALLER_TIMEOUT
+          && event->kind != EVENT_FAULT && event->kind != EVENT_START
+          && event->kind != EVENT_KILL)
         {
           event->time = paused;
-          event->order = world->orders++;
-          g_sequence_insert_sorted (world->events, event, compare_events, NULL);
+          event->order = simulation->next_order++;
+          g_sequence_insert_sorted (simulation->events, event, compare_events, NULL);
           continue;
         }
-      fb_advance_clock (world->clock, event->time - fb_read_clock (world->clock));
-      run_event (world, event);
+      fb_advance_clock (simulation->clock, event->time - fb_read_clock (simulation->clock));
+      run_event (simulation, event);
       g_free (event);
     }
 }
 
-/* Checks that nothing is left over: each call ended, each slot and each count is free. */
+/* Checks that each call has ended and that no slot or in-flight count is leaked. */
 static void
-check_end (world_t *world)
+check_final_state (simulation_t *simulation)
 {
   for (uint32_t i = 0; i < REQUESTS; i++)
-    g_assert_true (world->requests[i].done);
+    g_assert_true (simulation->requests[i].done);
   for (uint32_t i = 0; i < NODES; i++)
     {
-      const node_t *node = &world->nodes[i];
+      const node_t *node = &simulation->nodes[i];
       GHashTableIter iter;
       void *value;
 
       g_assert_cmpuint (node->start_id, !=, 0);
       g_assert_cmpuint (fr_count_started (node->admission), ==, 0);
       g_assert_cmpuint (fr_count_waiting (node->admission), ==, 0);
-      g_assert_cmpuint (g_hash_table_size (node->works), ==, 0);
+      g_assert_cmpuint (g_hash_table_size (node->backend_calls), ==, 0);
       g_assert_cmpuint (g_hash_table_size (node->attempts), ==, 0);
       g_hash_table_iter_init (&iter, node->picker->instances);
       while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -280,63 +290,63 @@
 }
 
 static void
-create_world (world_t *world, uint32_t seed)
+create_simulation (simulation_t *simulation, uint32_t seed)
 {
-  world->clock = fb_create_manual_clock (0);
-  world->counters = fb_create_counters ();
-  world->random = g_rand_new_with_seed (seed);
-  world->events = g_sequence_new (NULL);
-  world->runs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  world->refused = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  world->failing = 1;
-  world->shedding = 2;
+  simulation->clock = fb_create_manual_clock (0);
+  simulation->counters = fb_create_counters ();
+  simulation->random = g_rand_new_with_seed (seed);
+  simulation->events = g_sequence_new (NULL);
+  simulation->runs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  simulation->not_run = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  simulation->failing_node = 1;
+  simulation->shedding_node = 2;
   for (uint32_t i = 0; i < NODES; i++)
     {
       char name[16];
 
       g_snprintf (name, sizeof name, "node-%u", i);
-      world->nodes[i].world = world;
-      world->nodes[i].index = i;
-      world->nodes[i].id = fb_make_name (name);
-      begin_node (&world->nodes[i]);
-      add_event (world, EVENT_TICK, i, 0);
+      simulation->nodes[i].simulation = simulation;
+      simulation->nodes[i].index = i;
+      simulation->nodes[i].id = fb_make_name (name);
+      join_node (&simulation->nodes[i]);
+      add_event (simulation, EVENT_TICK, i, 0);
     }
-  add_event (world, EVENT_FAULT, 0, FB_SECOND);
+  add_event (simulation, EVENT_FAULT, 0, FB_SECOND);
   for (uint32_t i = 0; i < REQUESTS; i++)
     {
-      /* Half of the requests come as a flood that admission must refuse in part. */
-      double arrival
-          = g_rand_double (world->random) * (double)(i % 2 == 0 ? ARRIVALS : FLOOD_DURATION);
-      event_t *event = add_event (world, EVENT_REQUEST,
-                                  (uint32_t)g_rand_int_range (world->random, 0, NODES),
+      /* Half of the requests arrive as a flood, of which admission must refuse some. */
+      double arrival = g_rand_double (simulation->random)
+                       * (double)(i % 2 == 0 ? ARRIVALS_END : FLOOD_DURATION);
+      event_t *event = add_event (simulation, EVENT_REQUEST,
+                                  (uint32_t)g_rand_int_range (simulation->random, 0, NODES),
                                   (fb_time_t)arrival + (i % 2 == 0 ? 0 : FLOOD_START));
 
       event->request = i;
-      world->requests[i].index = i;
-      world->requests[i].rank = (uint32_t)g_rand_int_range (world->random, 0, RANKS);
-      world->requests[i].repeatable = draw (world, 0.3);
+      simulation->requests[i].index = i;
+      simulation->requests[i].rank = (uint32_t)g_rand_int_range (simulation->random, 0, RANKS);
+      simulation->requests[i].repeatable = draw_chance (simulation, 0.3);
     }
 }
 
 void
-run_world (uint32_t seed, uint64_t *totals)
+run_simulation (uint32_t seed, uint64_t *totals)
 {
-  world_t *world = g_new0 (world_t, 1);
+  simulation_t *simulation = g_new0 (simulation_t, 1);
 
-  world->totals = totals;
-  create_world (world, seed);
-  run_events (world);
-  check_end (world);
+  simulation->totals = totals;
+  create_simulation (simulation, seed);
+  run_events (simulation);
+  check_final_state (simulation);
   for (uint32_t i = 0; i < NODES; i++)
-    kill_node (&world->nodes[i]);
-  for (GSequenceIter *iter = g_sequence_get_begin_iter (world->events);
+    kill_node (&simulation->nodes[i]);
+  for (GSequenceIter *iter = g_sequence_get_begin_iter (simulation->events);
        !g_sequence_iter_is_end (iter); iter = g_sequence_iter_next (iter))
     g_free (g_sequence_get (iter));
-  g_sequence_free (world->events);
-  g_hash_table_destroy (world->runs);
-  g_hash_table_destroy (world->refused);
-  g_rand_free (world->random);
-  fb_destroy_counters (world->counters);
-  fb_destroy_clock (world->clock);
-  g_free (world);
+  g_sequence_free (simulation->events);
+  g_hash_table_destroy (simulation->runs);
+  g_hash_table_destroy (simulation->not_run);
+  g_rand_free (simulation->random);
+  fb_destroy_counters (simulation->counters);
+  fb_destroy_clock (simulation->clock);
+  g_free (simulation);
 }
--- a/packages/call/tests/test-admission.c
+++ b/packages/call/tests/test-admission.c
@@ -1,4 +1,4 @@
-/* Rules of admission, as scripts of offers and ends on a manual clock. */
+/* Rules of admission, tested by scripts of offered and finished calls on a manual clock. */
 #include <foxtailrun/call/admission.h>
 #include <glib.h>
 #include <stdlib.h>
@@ -34,19 +34,19 @@
                           GPOINTER_TO_UINT (call));
 }
 
-/* Runs one word of a script: "oID,RANK,CUSTOMER,WEIGHT,DEADLINE" (ms from now) offers, "fID"
- * finishes, "cID" cancels, "+MS" passes time, "t" ticks, "d" drains, "SN" sets the slots and
- * "RN" the number of ranks. */
+/* Runs one step of a script: "oID,RANK,CUSTOMER,WEIGHT,DEADLINE" (ms from now) offers, "fID"
+ * finishes, "cID" cancels, "+MS" advances the clock, "t" ticks, "d" drains, "SN" sets the slots
+ * and "RN" the number of ranks. */
 static void
-run_word (fixture_t *fixture, const char *word)
+run_step (fixture_t *fixture, const char *step)
 {
-  uint64_t id = strtoull (word + 1, NULL, 10);
+  uint64_t id = strtoull (step + 1, NULL, 10);
   char **fields;
 
-  switch (word[0])
+  switch (step[0])
     {
     case 'o':
-      fields = g_strsplit (word + 1, ",", 5);
+      fields = g_strsplit (step + 1, ",", 5);
       fr_offer_call (fixture->admission, id, GUINT_TO_POINTER (id), (uint32_t)atoi (fields[1]),
                      fb_wrap_text (fields[2]), atof (fields[3]),
                      fb_read_clock (fixture->clock) + atoi (fields[4]) * FB_MILLISECOND);
@@ -69,8 +69,8 @@
       fr_drain_admission (fixture->admission);
       break;
     default:
-      g_assert_true (word[0] == 'S' || word[0] == 'R');
-      if (word[0] == 'S')
+      g_assert_true (step[0] == 'S' || step[0] == 'R');
+      if (step[0] == 'S')
         fixture->slots = (uint32_t)id;
       else
         fixture->rank_count = id;
@@ -83,17 +83,17 @@
 static void
 run_script (fixture_t *fixture, const char *script)
 {
-  char **words = g_strsplit (script, " ", -1);
+  char **steps = g_strsplit (script, " ", -1);
 
-  for (size_t i = 0; words[i] != NULL; i++)
-    run_word (fixture, words[i]);
-  g_strfreev (words);
+  for (size_t i = 0; steps[i] != NULL; i++)
+    run_step (fixture, steps[i]);
+  g_strfreev (steps);
 }
 
 typedef struct
 {
   const char *name;
-  const char *guards; /* against which failure */
+  const char *guards; /* the failure that the case guards against */
   fr_policy_t policy;
   uint32_t slots;
   double share_0;
@@ -106,14 +106,15 @@
 } case_t;
 
 static const case_t cases[] = {
-  { "urgent-first", "least urgent work that arrived earlier goes first", FR_POLICY_SHARES, 1, 0,
-    0, 0, 0, 0, "o1,1,a,1,900 o2,1,a,1,900 o3,0,a,1,900 f1 f3", "s1 s3 s2 " },
+  { "urgent-first", "less urgent calls that arrived earlier start first", FR_POLICY_SHARES, 1,
+    0, 0, 0, 0, 0, "o1,1,a,1,900 o2,1,a,1,900 o3,0,a,1,900 f1 f3", "s1 s3 s2 " },
   { "share-first", "a flood of the most urgent rank starves the others", FR_POLICY_SHARES, 1,
     0.5, 0.5, 0, 0, 0,
     "o1,0,a,1,9000 +1000 o2,0,a,1,9000 o3,1,a,1,9000 f1 +2000 o4,1,a,1,9000 f3", "s1 s3 s2 " },
-  { "share-lent", "slots stay idle for a rank without work", FR_POLICY_SHARES, 1, 0.1, 0.9, 0,
-    0, 0, "o1,0,a,1,9000 +1000 o2,0,a,1,9000 f1", "s1 s2 " },
-  { "share-used", "a rank gets more than its share because calls instead of time are counted",
+  { "share-unused", "slots stay idle for a rank without calls", FR_POLICY_SHARES, 1, 0.1, 0.9,
+    0, 0, 0, "o1,0,a,1,9000 +1000 o2,0,a,1,9000 f1", "s1 s2 " },
+  { "share-by-time",
+    "a rank gets more than its share because calls are counted instead of slot time",
     FR_POLICY_SHARES, 2, 0.5, 0.5, 0, 0, 0,
     "o1,0,a,1,9000 o2,1,a,1,9000 +100 f1 o3,0,a,1,9000 +900 o4,0,a,1,9000 o5,1,a,1,9000 f2",
     "s1 s2 s3 s4 " },
@@ -127,10 +128,11 @@
     "o1,0,a,1,9000 +300 f1 o2,2,a,1,9000 o3,2,a,1,9000 o4,2,a,1,9000 o5,2,a,1,9000 "
     "+100 o6,2,a,1,9000 +5000 t",
     "s1 s2 s3 s4 s5 s6 " },
-  { "customer-turn", "a customer gains by sending more", FR_POLICY_SHARES, 1, 0, 0, 0, 0, 0,
+  { "customer-fairness", "a customer gets more slots by sending more calls", FR_POLICY_SHARES,
+    1, 0, 0, 0, 0, 0,
     "o1,0,a,1,900 o2,0,a,1,900 o3,0,a,1,900 o4,0,b,1,900 o5,0,b,1,900 f1 f4 f2 f5",
     "s1 s4 s2 s5 s3 " },
-  { "customer-idle", "an idle customer saves up turns", FR_POLICY_SHARES, 1, 0, 0, 0, 0, 0,
+  { "customer-idle", "an idle customer accumulates credit", FR_POLICY_SHARES, 1, 0, 0, 0, 0, 0,
     "o1,0,a,1,9000 +10 f1 o2,0,b,1,9000 o3,0,b,1,9000 o4,0,b,1,9000 +10 f2 +10 f3 +10 f4 "
     "o5,0,b,1,9000 o6,0,a,1,9000 o7,0,a,1,9000 o8,0,a,1,9000 o9,0,b,1,9000 +10 f5 +10 f6 +10 f9 "
     "+10 f7",
@@ -144,9 +146,9 @@
   { "deadline-wait", "a call waits although it cannot end in time", FR_POLICY_SHARES, 1, 0, 0,
     0, 0, 0, "o1,0,a,1,9000 +100 f1 o2,0,a,1,9000 o3,0,a,1,9000 o4,0,a,1,250 o5,0,a,1,350",
     "s1 s2 deadline4 " },
-  { "deadline-probe", "a wrong average refuses all calls for ever", FR_POLICY_SHARES, 1, 0, 0,
-    0, 0, 0, "o1,0,a,1,9000 +5000 f1 o2,0,a,1,100", "s1 s2 " },
-  { "deadline-tick", "expired calls keep their place", FR_POLICY_SHARES, 1, 0, 0, 0, 0, 0,
+  { "deadline-probe", "a wrong average service time causes refusals without end",
+    FR_POLICY_SHARES, 1, 0, 0, 0, 0, 0, "o1,0,a,1,9000 +5000 f1 o2,0,a,1,100", "s1 s2 " },
+  { "deadline-tick", "expired calls stay in the queue", FR_POLICY_SHARES, 1, 0, 0, 0, 0, 0,
     "o1,0,a,1,9000 o2,0,a,1,50 +60 t", "s1 deadline2 " },
   { "deadline-pause", "a call queued before a pause is started after its deadline",
     FR_POLICY_SHARES, 1, 0, 0, 0, 0, 0, "o1,0,a,1,900 o2,0,a,1,900 o3,0,a,1,9000 +5000 f1",
@@ -155,40 +157,40 @@
     FR_POLICY_SHARES, 1, 0, 0, 0, 0, 3,
     "o1,0,a,1,900 o2,0,a,1,900 o3,0,a,1,900 o4,0,a,1,900 o5,0,b,1,900 f1 f5 f2",
     "s1 queue-full4 s5 s2 s3 " },
-  { "queue-own", "the customer that fills the queue drives out others", FR_POLICY_SHARES, 1, 0,
-    0, 0, 0, 3, "o1,0,a,1,900 o2,0,b,1,900 o3,0,a,1,900 o4,0,a,1,900 o5,0,a,1,900",
-    "s1 queue-full5 " },
-  { "target", "a rank over its share queues work past its target", FR_POLICY_SHARES, 1, 0.1, 0,
+  { "queue-same-customer", "the customer that fills the queue displaces others",
+    FR_POLICY_SHARES, 1, 0, 0, 0, 0, 3,
+    "o1,0,a,1,900 o2,0,b,1,900 o3,0,a,1,900 o4,0,a,1,900 o5,0,a,1,900", "s1 queue-full5 " },
+  { "target", "a rank over its share queues calls past its target", FR_POLICY_SHARES, 1, 0.1, 0,
     0, 150, 0, "o1,0,a,1,9000 +100 f1 o2,0,a,1,9000 +100 o3,0,a,1,9000 o4,0,a,1,9000",
     "s1 s2 queue-full4 " },
-  { "target-share", "a rank below its share is refused by its target", FR_POLICY_SHARES, 1, 0.9,
-    0, 0, 150, 0, "o1,0,a,1,9000 +100 f1 o2,0,a,1,9000 o3,0,a,1,9000 o4,0,a,1,9000", "s1 s2 " },
+  { "target-share", "a rank below its share is refused because of its target", FR_POLICY_SHARES,
+    1, 0.9, 0, 0, 150, 0, "o1,0,a,1,9000 +100 f1 o2,0,a,1,9000 o3,0,a,1,9000 o4,0,a,1,9000",
+    "s1 s2 " },
   { "target-waited", "a slot goes to a call that has missed its target", FR_POLICY_SHARES, 2,
     0.1, 0, 0, 150, 0,
     "o1,0,a,1,9000 o2,0,a,1,9000 +10 f1 o3,0,a,1,9000 o4,0,a,1,9000 +200 o5,0,a,1,9000 f2",
     "s1 s2 s3 queue-full4 s5 " },
-  { "target-turn", "a customer that floods its rank gets the calls of others refused",
+  { "target-fair-share", "a flood of one customer causes refusals of others in its rank",
     FR_POLICY_SHARES, 2, 0.1, 0, 0, 150, 0,
     "o1,0,a,1,9000 o2,0,a,1,9000 +10 f1 o3,0,a,1,9000 o4,0,a,1,9000 o5,0,b,1,9000 +200 f2 f3",
     "s1 s2 s3 s5 queue-full4 " },
-  { "drain", "draining drops waiting work or takes new work", FR_POLICY_SHARES, 1, 0, 0, 0, 0,
-    0, "o1,0,a,1,900 o2,0,a,1,900 d o3,0,a,1,900 f1", "s1 draining3 s2 " },
+  { "drain", "draining drops waiting calls or accepts new ones", FR_POLICY_SHARES, 1, 0, 0, 0,
+    0, 0, "o1,0,a,1,900 o2,0,a,1,900 d o3,0,a,1,900 f1", "s1 draining3 s2 " },
   { "cancel", "a cancelled call starts, or a started one is refused", FR_POLICY_SHARES, 1, 0, 0,
     0, 0, 0, "o1,0,a,1,900 o2,0,a,1,900 c2 c1 c2 f1", "s1 cancelled2 yes no no " },
   { "more-slots", "new slots stay idle", FR_POLICY_SHARES, 1, 0, 0, 0, 0, 0,
     "o1,0,a,1,900 o2,0,a,1,900 o3,0,a,1,900 S2 S1 f1 f2", "s1 s2 s3 " },
-  { "fewer-ranks", "calls of a rank that went away are lost", FR_POLICY_SHARES, 1, 0, 0, 0, 0,
-    0,
+  { "fewer-ranks", "calls of a removed rank are lost", FR_POLICY_SHARES, 1, 0, 0, 0, 0, 0,
     "o1,2,a,1,900 o2,2,a,1,900 o3,1,b,1,900 o4,2,c,1,900 R1 o5,7,a,1,900 o6,0,d,1,900 f1 f3 f4 f6 "
     "f2 R3 f5",
     "s1 s3 s4 s6 s2 s5 " },
-  { "fifo", "the baseline looks at ranks", FR_POLICY_FIFO, 1, 0, 0, 0, 0, 0,
+  { "fifo", "the baseline respects ranks", FR_POLICY_FIFO, 1, 0, 0, 0, 0, 0,
     "o1,1,a,1,900 o2,1,a,1,900 o3,0,a,1,900 f1", "s1 s2 " },
-  { "strict", "the baseline looks at shares", FR_POLICY_STRICT, 1, 0, 0.9, 0, 0, 0,
+  { "strict", "the baseline respects shares", FR_POLICY_STRICT, 1, 0, 0.9, 0, 0, 0,
     "o1,1,a,1,900 o2,1,a,1,900 o3,0,a,1,900 f1", "s1 s3 " },
-  { "fair", "the baseline looks at urgency", FR_POLICY_FAIR, 1, 0.3, 0.7, 0, 0, 0,
+  { "fair", "the baseline respects urgency", FR_POLICY_FAIR, 1, 0.3, 0.7, 0, 0, 0,
     "o1,0,a,1,900 +10 o2,0,a,1,900 o3,1,a,1,900 f1", "s1 s3 " },
-  { "adaptive", "the baseline's limit never moves", FR_POLICY_ADAPTIVE, 1, 0, 0, 0, 0, 0,
+  { "adaptive", "the baseline's limit never changes", FR_POLICY_ADAPTIVE, 1, 0, 0, 0, 0, 0,
     "o1,0,a,1,900 o2,0,a,1,900 +10 f1 o3,0,a,1,900 o4,0,a,1,900 o5,0,a,1,900",
     "s1 queue-full2 s3 queue-full5 " },
 };
@@ -221,21 +223,21 @@
   g_string_free (fixture.events, TRUE);
 }
 
-/* Calls that hooks make: the odd ones are finished as soon as they start and offer another one,
- * refused ones cancel or offer again. */
+/* State of hooks that call admission: a started call offers two more, cancels the second and
+ * finishes itself; a refused call offers one more. */
 typedef struct
 {
   fr_admission_t *admission;
-  uint32_t last;
+  uint32_t last_id;
   uint32_t started;
   uint32_t refused;
-  uint32_t inside;
+  uint32_t nesting; /* of hooks */
 } reentry_t;
 
 static void
 offer_next (reentry_t *reentry)
 {
-  uint32_t id = ++reentry->last;
+  uint32_t id = ++reentry->last_id;
 
   if (id <= 200)
     fr_offer_call (reentry->admission, id, GUINT_TO_POINTER (id), 0, FB_LITERAL ("a"), 1,
@@ -247,14 +249,14 @@
 {
   reentry_t *reentry = user;
 
-  g_assert_cmpuint (reentry->inside++, ==, 0);
+  g_assert_cmpuint (reentry->nesting++, ==, 0);
   reentry->started++;
   offer_next (reentry);
   offer_next (reentry);
-  fr_cancel_call (reentry->admission, reentry->last);
+  fr_cancel_call (reentry->admission, reentry->last_id);
   fr_finish_call (reentry->admission, GPOINTER_TO_UINT (call));
   fr_tick_admission (reentry->admission);
-  reentry->inside--;
+  reentry->nesting--;
 }
 
 static void
@@ -262,25 +264,25 @@
 {
   reentry_t *reentry = user;
 
-  g_assert_cmpuint (reentry->inside++, ==, 0);
+  g_assert_cmpuint (reentry->nesting++, ==, 0);
   reentry->refused++;
   offer_next (reentry);
-  reentry->inside--;
+  reentry->nesting--;
 }
 
-/* Guards against hooks that call admission again: nested hooks, lost calls and two hooks for
- * one call. */
+/* Guards against nested hooks, lost calls and two hooks for one call when hooks call admission.
+ */
 static void
 test_reentry (void)
 {
   reentry_t reentry = { 0 };
   const fr_admission_hooks_t hooks = { reenter_start, reenter_refuse, &reentry };
-  const fr_rank_options_t rule = { 1, 0, 3 };
+  const fr_rank_options_t rank_options = { 1, 0, 3 };
   fb_clock_t *clock = fb_create_manual_clock (FB_SECOND);
   fb_counters_t *counters = fb_create_counters ();
 
   reentry.admission
-      = fr_create_admission (FR_POLICY_SHARES, 2, &rule, 1, clock, counters, &hooks);
+      = fr_create_admission (FR_POLICY_SHARES, 2, &rank_options, 1, clock, counters, &hooks);
   offer_next (&reentry);
   g_assert_cmpuint (reentry.started + reentry.refused, ==, 200);
   g_assert_cmpuint (reentry.started, >=, 20);
@@ -292,7 +294,7 @@
   fb_destroy_clock (clock);
 }
 
-/* Guards against a slot that is freed twice, which would over-use the slots later. */
+/* Guards against a slot that is freed twice, after which more calls than slots would run. */
 static void
 test_finish_twice (void)
 {
@@ -300,11 +302,11 @@
     {
       fixture_t fixture = { .events = g_string_new ("") };
       const fr_admission_hooks_t hooks = { on_start, on_refuse, &fixture };
-      const fr_rank_options_t rule = { 1, 0, 0 };
+      const fr_rank_options_t rank_options = { 1, 0, 0 };
 
       fixture.clock = fb_create_manual_clock (0);
-      fixture.admission = fr_create_admission (FR_POLICY_SHARES, 1, &rule, 1, fixture.clock,
-                                               fb_create_counters (), &hooks);
+      fixture.admission = fr_create_admission (FR_POLICY_SHARES, 1, &rank_options, 1,
+                                               fixture.clock, fb_create_counters (), &hooks);
       run_script (&fixture, "o1,0,a,1,900 o2,0,a,1,900 f1 f1");
       return;
     }
--- a/packages/call/tests/test-once.c
+++ b/packages/call/tests/test-once.c
@@ -14,7 +14,7 @@
 }
 
 static fr_ticket_t
-issue (fr_once_t *once)
+issue_ticket (fr_once_t *once)
 {
   char text[FR_TICKET_MAX];
   fr_ticket_t ticket;
@@ -25,7 +25,7 @@
 }
 
 static fb_bytes_t
-wrap (const char *text)
+wrap_answer (const char *text)
 {
   return (fb_bytes_t){ (const uint8_t *)text, strlen (text) };
 }
@@ -44,14 +44,14 @@
 static fr_ticket_t
 run_ticket (fr_once_t *once, const char *answer)
 {
-  fr_ticket_t ticket = issue (once);
+  fr_ticket_t ticket = issue_ticket (once);
 
   assert_state (once, &ticket, FR_ONCE_RUN, "");
-  fr_end_once (once, &ticket, wrap (answer));
+  fr_end_once (once, &ticket, wrap_answer (answer));
   return ticket;
 }
 
-/* Guards against text that is taken for a ticket, and tickets that are not recognised. */
+/* Guards against other text that is accepted as a ticket, and tickets that are rejected. */
 static void
 test_parse (void)
 {
@@ -96,40 +96,40 @@
 /* Guards against a second run, and against an answer that is lost or belongs to another call.
  */
 static void
-test_life (void)
+test_lifecycle (void)
 {
   fr_once_t *once = create_once ("node-a", 42, 10, 1000);
-  fr_ticket_t ticket = issue (once);
-  fr_ticket_t other = issue (once);
+  fr_ticket_t ticket = issue_ticket (once);
+  fr_ticket_t other = issue_ticket (once);
   fb_bytes_t answer;
 
   assert_state (once, &ticket, FR_ONCE_RUN, "");
   assert_state (once, &ticket, FR_ONCE_RUNNING, "");
   assert_state (once, &other, FR_ONCE_RUN, "");
-  fr_end_once (once, &ticket, wrap ("first"));
-  fr_end_once (once, &other, wrap (""));
+  fr_end_once (once, &ticket, wrap_answer ("first"));
+  fr_end_once (once, &other, wrap_answer (""));
   assert_state (once, &ticket, FR_ONCE_ANSWERED, "first");
   assert_state (once, &other, FR_ONCE_UNKNOWN, "");
-  /* Another request under the same ticket gets no answer that is not its own. */
+  /* A different request with the same ticket does not get the recorded answer. */
   g_assert_cmpint (fr_begin_once (once, &ticket, 8, &answer), ==, FR_ONCE_MISMATCH);
   g_assert_cmpuint (answer.len, ==, 0);
-  ticket = issue (once);
+  ticket = issue_ticket (once);
   assert_state (once, &ticket, FR_ONCE_RUN, "");
   fr_abandon_once (once, &ticket);
   assert_state (once, &ticket, FR_ONCE_REFUSED, "");
   fr_destroy_once (once);
 }
 
-/* Guards against a late copy of a request that runs after "not run" was told, and against "not
- * run" told for a ticket that ran. */
+/* Guards against a delayed copy of a request that runs after "not run" was reported, and
+ * against "not run" reported for a ticket that ran. */
 static void
 test_refuse (void)
 {
   fr_once_t *once = create_once ("node-a", 42, 2, 1000);
-  fr_ticket_t unused = issue (once);
+  fr_ticket_t unused = issue_ticket (once);
   fr_ticket_t ran = run_ticket (once, "done");
-  fr_ticket_t running = issue (once);
-  fr_ticket_t more = issue (once);
+  fr_ticket_t running = issue_ticket (once);
+  fr_ticket_t more = issue_ticket (once);
   fb_bytes_t answer;
 
   g_assert_cmpint (fr_refuse_once (once, &unused, 7, &answer), ==, FR_ONCE_REFUSED);
@@ -139,37 +139,37 @@
   g_assert_cmpint (fr_refuse_once (once, &ran, 8, &answer), ==, FR_ONCE_MISMATCH);
   assert_state (once, &running, FR_ONCE_RUN, "");
   g_assert_cmpint (fr_refuse_once (once, &running, 7, &answer), ==, FR_ONCE_RUNNING);
-  /* The record of the refusal made room: whether that ticket ran is no longer known. */
+  /* The record of the refusal was evicted, so that it is unknown whether that ticket ran. */
   assert_state (once, &unused, FR_ONCE_UNKNOWN, "");
   assert_state (once, &more, FR_ONCE_RUN, "");
-  /* With only running records there is no room to keep a refusal true. */
-  unused = issue (once);
+  /* While all records are running a refusal cannot be recorded. */
+  unused = issue_ticket (once);
   g_assert_cmpint (fr_refuse_once (once, &unused, 7, &answer), ==, FR_ONCE_UNKNOWN);
   fr_destroy_once (once);
 }
 
-/* Guards against tickets that another process issued or that were made up. */
+/* Guards against the acceptance of tickets that another process issued or that are forged. */
 static void
-test_foreign (void)
+test_other_process (void)
 {
   fr_once_t *once = create_once ("node-a", 42, 10, 1000);
   fr_once_t *restarted = create_once ("node-a", 43, 10, 1000);
-  fr_once_t *neighbour = create_once ("node-b", 42, 10, 1000);
-  fr_once_t *twin = create_once ("node-a", 42, 10, 1000);
-  fr_ticket_t ticket = issue (once);
+  fr_once_t *other_node = create_once ("node-b", 42, 10, 1000);
+  fr_once_t *unissued = create_once ("node-a", 42, 10, 1000);
+  fr_ticket_t ticket = issue_ticket (once);
   fr_ticket_t forged = ticket;
 
-  issue (restarted);
-  issue (neighbour);
-  assert_state (twin, &ticket, FR_ONCE_INVALID, "");
+  issue_ticket (restarted);
+  issue_ticket (other_node);
+  assert_state (unissued, &ticket, FR_ONCE_INVALID, "");
   assert_state (restarted, &ticket, FR_ONCE_OTHER_PROCESS, "");
-  assert_state (neighbour, &ticket, FR_ONCE_OTHER_PROCESS, "");
+  assert_state (other_node, &ticket, FR_ONCE_OTHER_PROCESS, "");
   forged.nonce ^= 1;
   assert_state (once, &forged, FR_ONCE_INVALID, "");
   forged = ticket;
   forged.serial++;
   assert_state (once, &forged, FR_ONCE_INVALID, "");
-  issue (once);
+  issue_ticket (once);
   assert_state (once, &forged, FR_ONCE_INVALID, "");
   forged.serial = 0;
   assert_state (once, &forged, FR_ONCE_INVALID, "");
@@ -178,17 +178,17 @@
   assert_state (restarted, &forged, FR_ONCE_INVALID, "");
   fr_destroy_once (once);
   fr_destroy_once (restarted);
-  fr_destroy_once (neighbour);
-  fr_destroy_once (twin);
+  fr_destroy_once (other_node);
+  fr_destroy_once (unissued);
 }
 
-/* Guards against answers that fill the memory, and against a dropped answer that makes the call
- * run again. */
+/* Guards against recorded answers beyond the limit of bytes, and against a call that runs again
+ * because its answer was evicted. */
 static void
-test_bytes_bound (void)
+test_bytes_limit (void)
 {
   fr_once_t *once = create_once ("node-a", 42, 10, 10);
-  fr_ticket_t late = issue (once);
+  fr_ticket_t late = issue_ticket (once);
   fr_ticket_t first;
   fr_ticket_t second;
   fr_ticket_t large;
@@ -197,7 +197,7 @@
   first = run_ticket (once, "1234");
   second = run_ticket (once, "5678");
   g_assert_cmpuint (fr_get_once_bytes (once), ==, 8);
-  fr_end_once (once, &late, wrap ("9012"));
+  fr_end_once (once, &late, wrap_answer ("9012"));
   g_assert_cmpuint (fr_get_once_bytes (once), ==, 8);
   assert_state (once, &first, FR_ONCE_UNKNOWN, "");
   assert_state (once, &second, FR_ONCE_ANSWERED, "5678");
@@ -209,14 +209,14 @@
   fr_destroy_once (once);
 }
 
-/* Guards against records without end, and against a call that runs again or counts as not run
- * because its record was dropped. */
+/* Guards against records beyond the limit, and against a call that runs again or counts as not
+ * run because its record was evicted. */
 static void
-test_records_bound (void)
+test_records_limit (void)
 {
   fr_once_t *once = create_once ("node-a", 42, 3, 1000);
-  fr_ticket_t unused = issue (once);
-  fr_ticket_t running = issue (once);
+  fr_ticket_t unused = issue_ticket (once);
+  fr_ticket_t running = issue_ticket (once);
   fr_ticket_t first;
 
   assert_state (once, &running, FR_ONCE_RUN, "");
@@ -231,25 +231,25 @@
   assert_state (once, &first, FR_ONCE_UNKNOWN, "");
   assert_state (once, &unused, FR_ONCE_UNKNOWN, "");
   assert_state (once, &running, FR_ONCE_RUNNING, "");
-  fr_end_once (once, &running, wrap ("done"));
+  fr_end_once (once, &running, wrap_answer ("done"));
   assert_state (once, &running, FR_ONCE_ANSWERED, "done");
   fr_destroy_once (once);
 }
 
-/* Guards against a running record that is dropped, and against a call that runs without one. */
+/* Guards against the eviction of a running record, and against a call that runs without one. */
 static void
 test_all_running (void)
 {
   fr_once_t *once = create_once ("node-a", 42, 2, 1000);
-  fr_ticket_t tickets[3] = { issue (once), issue (once), issue (once) };
+  fr_ticket_t tickets[3] = { issue_ticket (once), issue_ticket (once), issue_ticket (once) };
 
   assert_state (once, &tickets[1], FR_ONCE_RUN, "");
   assert_state (once, &tickets[2], FR_ONCE_RUN, "");
   assert_state (once, &tickets[0], FR_ONCE_UNKNOWN, "");
   assert_state (once, &tickets[1], FR_ONCE_RUNNING, "");
   g_assert_cmpuint (fr_count_once_records (once), ==, 2);
-  /* The record of ticket 1 makes room and is no reason to run it again. */
-  fr_end_once (once, &tickets[1], wrap ("1"));
+  /* The record of ticket 1 is evicted, after which it must not run again. */
+  fr_end_once (once, &tickets[1], wrap_answer ("1"));
   assert_state (once, &tickets[0], FR_ONCE_RUN, "");
   assert_state (once, &tickets[1], FR_ONCE_UNKNOWN, "");
   fr_abandon_once (once, &tickets[0]);
@@ -266,7 +266,7 @@
       fr_once_t *once = create_once ("node-a", 42, 2, 1000);
       fr_ticket_t ticket = run_ticket (once, "1");
 
-      fr_end_once (once, &ticket, wrap ("2"));
+      fr_end_once (once, &ticket, wrap_answer ("2"));
       return;
     }
   g_test_trap_subprocess (NULL, 0, 0);
@@ -279,11 +279,11 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/once/parse", test_parse);
-  g_test_add_func ("/once/life", test_life);
+  g_test_add_func ("/once/lifecycle", test_lifecycle);
   g_test_add_func ("/once/refuse", test_refuse);
-  g_test_add_func ("/once/foreign", test_foreign);
-  g_test_add_func ("/once/bytes-bound", test_bytes_bound);
-  g_test_add_func ("/once/records-bound", test_records_bound);
+  g_test_add_func ("/once/other-process", test_other_process);
+  g_test_add_func ("/once/bytes-limit", test_bytes_limit);
+  g_test_add_func ("/once/records-limit", test_records_limit);
   g_test_add_func ("/once/all-running", test_all_running);
   g_test_add_func ("/once/end-twice", test_end_twice);
   return g_test_run ();
--- a/packages/call/tests/test-picker.c
+++ b/packages/call/tests/test-picker.c
@@ -1,4 +1,4 @@
-/* Rules of the picker, from many picks with fixed seeds. */
+/* Rules of the picker, tested by many picks with fixed seeds. */
 #include "route-state.h"
 #include <foxtailrun/call/picker.h>
 
@@ -41,7 +41,7 @@
 }
 
 static void
-update (fixture_t *fixture, int number, int zone, int region, fw_member_state_t state)
+update_member (fixture_t *fixture, int number, int zone, int region, fw_member_state_t state)
 {
   fw_member_t member = { .id = make_id (number), .state = state };
   char text[16];
@@ -54,17 +54,18 @@
   fr_update_instance (fixture->picker, &member);
 }
 
-/* Adds COUNT instances of one zone, past their slow start. */
+/* Adds COUNT instances in ZONE and advances the clock past their slow start. */
 static void
 add_instances (fixture_t *fixture, int first, int count, int zone)
 {
   for (int i = first; i < first + count; i++)
-    update (fixture, i, zone, 0, FW_ALIVE);
+    update_member (fixture, i, zone, 0, FW_ALIVE);
   fb_advance_clock (fixture->clock, 11 * FB_SECOND);
 }
 
 static void
-report (fixture_t *fixture, int number, fr_result_t result, fb_time_t latency, uint32_t load)
+report_attempt (fixture_t *fixture, int number, fr_result_t result, fb_time_t latency,
+                uint32_t load)
 {
   fb_name_t id = make_id (number);
 
@@ -72,8 +73,8 @@
   fr_report_result (fixture->picker, &id, result, latency, load);
 }
 
-/* Picks PICKS times for RANK, ending each call at once without news, and counts by number; -1
- * when nothing was picked. */
+/* Picks PICKS times for RANK, ending each call at once as cancelled, and counts the picks by
+ * instance number. */
 static void
 count_picks (fixture_t *fixture, uint32_t rank, int *counts, size_t size)
 {
@@ -93,7 +94,7 @@
     }
 }
 
-/* Guards against nodes that connect to the whole fleet, or that cannot leave their zone. */
+/* Guards against nodes that connect to all instances, or to none outside of their zone. */
 static void
 test_subset (void)
 {
@@ -103,9 +104,9 @@
 
   fr_update_instance (fixture.picker, &self);
   for (int i = 0; i < 160; i++)
-    update (&fixture, i, i % 8, i % 8 / 4, FW_ALIVE);
+    update_member (&fixture, i, i % 8, i % 8 / 4, FW_ALIVE);
   g_assert_cmpuint (fr_count_instances (fixture.picker, service), ==, 16);
-  /* Excluding each picked one visits the whole subset. */
+  /* Excluding the instances picked so far enumerates the subset. */
   for (size_t i = 0; i <= 16; i++)
     {
       static fb_name_t picked[17];
@@ -128,7 +129,7 @@
   int local;
   int remote;
   uint32_t local_load;
-  bool stale; /* the report is older than its memory */
+  bool expired; /* the load report has expired */
   bool spills;
 } zone_case_t;
 
@@ -139,7 +140,7 @@
 {
   static const zone_case_t cases[] = {
     { "enough", 2, 2, 500, false, false },   { "too-few", 1, 2, 500, false, true },
-    { "all-full", 2, 2, 1000, false, true }, { "stale-report", 2, 2, 1000, true, false },
+    { "all-full", 2, 2, 1000, false, true }, { "expired-report", 2, 2, 1000, true, false },
     { "none", 0, 2, 0, false, true },
   };
 
@@ -151,8 +152,8 @@
       add_instances (&fixture, 0, cases[i].local, 0);
       add_instances (&fixture, 2, cases[i].remote, 1);
       for (int j = 0; j < cases[i].local; j++)
-        report (&fixture, j, FR_RESULT_REFUSED, 0, cases[i].local_load);
-      if (cases[i].stale)
+        report_attempt (&fixture, j, FR_RESULT_REFUSED, 0, cases[i].local_load);
+      if (cases[i].expired)
         fb_advance_clock (fixture.clock, 2 * FB_SECOND);
       count_picks (&fixture, 0, counts, 4);
       g_test_message ("%s", cases[i].name);
@@ -161,10 +162,10 @@
     }
 }
 
-/* Guards against calls to instances that are leaving or dead, and against suspect ones that are
- * picked while others live or not at all. */
+/* Guards against calls to leaving or dead instances, and against suspect ones that are picked
+ * while others are alive, or never. */
 static void
-test_states (void)
+test_member_states (void)
 {
   fixture_t fixture = create_fixture (FR_PICK_TWO_CHOICES);
   fb_name_t excluded = make_id (3);
@@ -172,16 +173,16 @@
   int counts[4];
 
   add_instances (&fixture, 0, 4, 0);
-  update (&fixture, 0, 0, 0, FW_LEAVING);
-  update (&fixture, 1, 0, 0, FW_DEAD);
-  update (&fixture, 2, 0, 0, FW_SUSPECT);
+  update_member (&fixture, 0, 0, 0, FW_LEAVING);
+  update_member (&fixture, 1, 0, 0, FW_DEAD);
+  update_member (&fixture, 2, 0, 0, FW_SUSPECT);
   count_picks (&fixture, 0, counts, 4);
   g_assert_cmpint (counts[3], ==, PICKS);
   g_assert_true (fr_pick_backend (fixture.picker, service, service, &excluded, 1, &picked));
   g_assert_cmpstr (picked.data, ==, "node-002");
-  update (&fixture, 2, 0, 0, FW_DEAD);
+  update_member (&fixture, 2, 0, 0, FW_DEAD);
   g_assert_false (fr_pick_backend (fixture.picker, service, service, &excluded, 1, &picked));
-  /* It has gone and its call ends late. */
+  /* The call ends after its instance was removed. */
   g_assert_cmpuint (g_hash_table_size (fixture.picker->instances), ==, 2);
   picked = make_id (2);
   fr_report_result (fixture.picker, &picked, FR_RESULT_ANSWERED, FB_MILLISECOND, 0);
@@ -191,9 +192,10 @@
   destroy_fixture (&fixture);
 }
 
-/* Guards against a returned instance whose old calls in flight are forgotten or never end. */
+/* Guards against a returned instance whose earlier calls in flight are not counted or never
+ * end. */
 static void
-test_return (void)
+test_returned_instance (void)
 {
   fixture_t fixture = create_fixture (FR_PICK_LEAST_IN_FLIGHT);
   fb_name_t first;
@@ -202,7 +204,7 @@
   add_instances (&fixture, 0, 2, 0);
   g_assert_true (fr_pick_backend (fixture.picker, service, service, NULL, 0, &first));
   for (int i = 0; i < 2; i++)
-    update (&fixture, first.data[7] - '0', 0, 0, i == 0 ? FW_DEAD : FW_ALIVE);
+    update_member (&fixture, first.data[7] - '0', 0, 0, i == 0 ? FW_DEAD : FW_ALIVE);
   g_assert_true (fr_pick_backend (fixture.picker, service, service, NULL, 0, &picked));
   g_assert_cmpstr (picked.data, !=, first.data);
   fr_report_result (fixture.picker, &first, FR_RESULT_CANCELLED, 0, 0);
@@ -216,12 +218,13 @@
   const char *name;
   int instances;
   int failing;  /* instances that fail */
-  int failures; /* in a row, each */
+  int failures; /* consecutive, of each */
   fr_result_t result;
   size_t ejected;
 } eject_case_t;
 
-/* Guards against ejection of too many, of the last one, or for refusals and single failures. */
+/* Guards against the ejection of too many instances, of the last one, or for refusals and
+ * single failures. */
 static void
 test_ejection (void)
 {
@@ -229,7 +232,7 @@
     { "four", 6, 1, 4, FR_RESULT_FAILED, 0 },
     { "five", 6, 1, 5, FR_RESULT_FAILED, 1 },
     { "refused", 6, 1, 50, FR_RESULT_REFUSED, 0 },
-    { "lost", 6, 1, 50, FR_RESULT_CANCELLED, 0 },
+    { "cancelled", 6, 1, 50, FR_RESULT_CANCELLED, 0 },
     { "third-of-6", 6, 6, 50, FR_RESULT_FAILED, 2 },
     { "third-of-5", 5, 5, 50, FR_RESULT_FAILED, 1 },
     { "third-of-4", 4, 4, 50, FR_RESULT_FAILED, 1 },
@@ -244,15 +247,15 @@
       add_instances (&fixture, 0, cases[i].instances, 0);
       for (int j = 0; j < cases[i].failing; j++)
         for (int k = 0; k < cases[i].failures; k++)
-          report (&fixture, j, cases[i].result, FB_MILLISECOND, 0);
+          report_attempt (&fixture, j, cases[i].result, FB_MILLISECOND, 0);
       g_test_message ("%s", cases[i].name);
       g_assert_cmpuint (fr_count_ejected (fixture.picker, service), ==, cases[i].ejected);
       destroy_fixture (&fixture);
     }
 }
 
-/* Guards against an ejected instance that is picked, never returns, or returns for good
- * although it still fails; and against failures that are not in a row. */
+/* Guards against an ejected instance that is picked, never returns, or is not ejected again
+ * when it still fails, and against ejection for failures that are not consecutive. */
 static void
 test_ejection_end (void)
 {
@@ -261,25 +264,26 @@
 
   add_instances (&fixture, 0, 3, 0);
   for (int i = 0; i < 20; i++)
-    report (&fixture, 0, i % 5 == 4 ? FR_RESULT_ANSWERED : FR_RESULT_FAILED, FB_MILLISECOND, 0);
+    report_attempt (&fixture, 0, i % 5 == 4 ? FR_RESULT_ANSWERED : FR_RESULT_FAILED,
+                    FB_MILLISECOND, 0);
   g_assert_cmpuint (fr_count_ejected (fixture.picker, service), ==, 0);
   for (int i = 0; i < 5; i++)
-    report (&fixture, 0, FR_RESULT_FAILED, FB_MILLISECOND, 0);
+    report_attempt (&fixture, 0, FR_RESULT_FAILED, FB_MILLISECOND, 0);
   count_picks (&fixture, 0, counts, 3);
   g_assert_cmpint (counts[0], ==, 0);
   fb_advance_clock (fixture.clock, 5 * FB_SECOND);
   g_assert_cmpuint (fr_count_ejected (fixture.picker, service), ==, 0);
-  report (&fixture, 0, FR_RESULT_FAILED, FB_MILLISECOND, 0);
+  report_attempt (&fixture, 0, FR_RESULT_FAILED, FB_MILLISECOND, 0);
   fb_advance_clock (fixture.clock, 9 * FB_SECOND);
   g_assert_cmpuint (fr_count_ejected (fixture.picker, service), ==, 1);
   fb_advance_clock (fixture.clock, 2 * FB_SECOND);
-  report (&fixture, 0, FR_RESULT_ANSWERED, FB_MILLISECOND, 0);
-  report (&fixture, 0, FR_RESULT_FAILED, FB_MILLISECOND, 0);
+  report_attempt (&fixture, 0, FR_RESULT_ANSWERED, FB_MILLISECOND, 0);
+  report_attempt (&fixture, 0, FR_RESULT_FAILED, FB_MILLISECOND, 0);
   g_assert_cmpuint (fr_count_ejected (fixture.picker, service), ==, 0);
   destroy_fixture (&fixture);
 }
 
-/* Guards against a cold instance that gets its full part, or a returned one that gets none. */
+/* Guards against a new instance that gets as many calls as the others at once, or never. */
 static void
 test_slow_start (void)
 {
@@ -287,7 +291,7 @@
   int counts[4];
 
   add_instances (&fixture, 0, 3, 0);
-  update (&fixture, 3, 0, 0, FW_ALIVE);
+  update_member (&fixture, 3, 0, 0, FW_ALIVE);
   count_picks (&fixture, 0, counts, 4);
   g_assert_cmpint (counts[3], >, PICKS / 100);
   g_assert_cmpint (counts[3], <, PICKS / 10);
@@ -297,8 +301,8 @@
   destroy_fixture (&fixture);
 }
 
-/* Guards against picks that ignore latency, load or calls in flight, that let quick failures
- * attract calls, and that let calls of one rank divert those of a more urgent one. */
+/* Guards against picks that ignore latency, load or calls in flight, against fast failures that
+ * attract calls, and against calls of one rank that divert those of a more urgent one. */
 static void
 test_score (void)
 {
@@ -309,13 +313,13 @@
   add_instances (&fixture, 0, 2, 0);
   for (int i = 0; i < 100; i++)
     {
-      report (&fixture, 0, FR_RESULT_ANSWERED, 20 * FB_MILLISECOND, 0);
-      report (&fixture, 1, FR_RESULT_ANSWERED, 10 * FB_MILLISECOND, 0);
+      report_attempt (&fixture, 0, FR_RESULT_ANSWERED, 20 * FB_MILLISECOND, 0);
+      report_attempt (&fixture, 1, FR_RESULT_ANSWERED, 10 * FB_MILLISECOND, 0);
     }
   count_picks (&fixture, 0, counts, 2);
   g_assert_cmpint (counts[0], ==, 0);
-  report (&fixture, 1, FR_RESULT_ANSWERED, 10 * FB_MILLISECOND, 4000);
-  report (&fixture, 0, FR_RESULT_ANSWERED, 20 * FB_MILLISECOND, 0);
+  report_attempt (&fixture, 1, FR_RESULT_ANSWERED, 10 * FB_MILLISECOND, 4000);
+  report_attempt (&fixture, 0, FR_RESULT_ANSWERED, 20 * FB_MILLISECOND, 0);
   count_picks (&fixture, 0, counts, 2);
   g_assert_cmpint (counts[1], ==, 0);
   fb_advance_clock (fixture.clock, 60 * FB_SECOND);
@@ -328,15 +332,15 @@
   fr_report_ranked (fixture.picker, &id, 2, FR_RESULT_CANCELLED, 0, 0);
   for (int i = 0; i < 40; i++)
     {
-      report (&fixture, 0, FR_RESULT_FAILED, FB_MICROSECOND, 0);
-      report (&fixture, 1, FR_RESULT_ANSWERED, 15 * FB_MILLISECOND, 0);
+      report_attempt (&fixture, 0, FR_RESULT_FAILED, FB_MICROSECOND, 0);
+      report_attempt (&fixture, 1, FR_RESULT_ANSWERED, 15 * FB_MILLISECOND, 0);
     }
   count_picks (&fixture, 0, counts, 2);
   g_assert_cmpint (counts[0], ==, 0);
   destroy_fixture (&fixture);
 }
 
-/* Guards against baselines that are not what they are called. */
+/* Guards against baselines that do not implement their policy. */
 static void
 test_baselines (void)
 {
@@ -364,7 +368,7 @@
                           preference->ejected ? " ejected" : "");
 }
 
-/* Guards against an explanation in another order than the picks, or one that changes them. */
+/* Guards against a visit in another order than the picks, or one that changes them. */
 static void
 test_visit (void)
 {
@@ -387,11 +391,11 @@
 
       add_instances (&fixture, 0, 2, 0);
       add_instances (&fixture, 2, 1, 1);
-      report (&fixture, 0, FR_RESULT_ANSWERED, 9 * FB_MILLISECOND, 0);
-      report (&fixture, 1, FR_RESULT_ANSWERED, FB_MILLISECOND, 0);
-      report (&fixture, 2, FR_RESULT_ANSWERED, 2 * FB_MILLISECOND, 0);
+      report_attempt (&fixture, 0, FR_RESULT_ANSWERED, 9 * FB_MILLISECOND, 0);
+      report_attempt (&fixture, 1, FR_RESULT_ANSWERED, FB_MILLISECOND, 0);
+      report_attempt (&fixture, 2, FR_RESULT_ANSWERED, 2 * FB_MILLISECOND, 0);
       for (int j = 0; j < 20 && cases[i].ejected >= 0; j++)
-        report (&fixture, cases[i].ejected, FR_RESULT_FAILED, FB_MILLISECOND, 0);
+        report_attempt (&fixture, cases[i].ejected, FR_RESULT_FAILED, FB_MILLISECOND, 0);
       for (int visit = 0; visit < 2; visit++)
         {
           g_string_truncate (order, 0);
@@ -411,8 +415,8 @@
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/picker/subset", test_subset);
   g_test_add_func ("/picker/zones", test_zones);
-  g_test_add_func ("/picker/states", test_states);
-  g_test_add_func ("/picker/return", test_return);
+  g_test_add_func ("/picker/member-states", test_member_states);
+  g_test_add_func ("/picker/returned-instance", test_returned_instance);
   g_test_add_func ("/picker/ejection", test_ejection);
   g_test_add_func ("/picker/ejection-end", test_ejection_end);
   g_test_add_func ("/picker/slow-start", test_slow_start);
--- a/packages/call/tests/test-retry.c
+++ b/packages/call/tests/test-retry.c
@@ -1,13 +1,13 @@
-/* Retry budget, the table of allowed retries, and the adaptive throttle. */
+/* Retry budget, rule of safe retries, and adaptive throttle. */
 #include <foxtailrun/call/retry.h>
 #include <glib.h>
 
 static const fb_str_t service = FB_LITERAL ("service");
 
-/* Guards against a second run of a call that may have run, and against retries elsewhere of a
- * call that belongs to one node. */
+/* Guards against a second run of a call that may have run, and against retries on another node
+ * of a call that is bound to one. */
 static void
-test_may_retry (void)
+test_retry_safe (void)
 {
   static const struct
   {
@@ -33,52 +33,52 @@
 }
 
 static int
-take_ranked (fr_retry_budget_t *budget, uint32_t rank)
+withdraw_all_of_rank (fr_retry_budget_t *budget, uint32_t rank)
 {
-  int taken = 0;
+  int withdrawn = 0;
 
-  while (taken < 100000 && fr_withdraw_retry (budget, service, rank))
-    taken++;
-  return taken;
+  while (withdrawn < 100000 && fr_withdraw_retry (budget, service, rank))
+    withdrawn++;
+  return withdrawn;
 }
 
 static int
-take_all (fr_retry_budget_t *budget)
+withdraw_all (fr_retry_budget_t *budget)
 {
-  return take_ranked (budget, 0);
+  return withdraw_all_of_rank (budget, 0);
 }
 
-/* Guards against retry storms, against quiet services that cannot retry, and against a budget
- * that is saved up or shared between services. */
+/* Guards against retry storms, against services with few calls that cannot retry, and against a
+ * budget that accumulates over time or is shared between services. */
 static void
 test_budget (void)
 {
   fb_clock_t *clock = fb_create_manual_clock (500 * FB_SECOND);
   fr_retry_budget_t *budget = fr_create_retry_budget (clock);
 
-  g_assert_cmpint (take_all (budget), ==, 10);
+  g_assert_cmpint (withdraw_all (budget), ==, 10);
   fr_set_retry_allowance (budget, FR_RETRY_RATIO, 12.5);
-  g_assert_cmpint (take_all (budget), ==, 2);
+  g_assert_cmpint (withdraw_all (budget), ==, 2);
   fr_set_retry_allowance (budget, FR_RETRY_RATIO, 10);
-  g_assert_cmpint (take_all (budget), ==, 0);
+  g_assert_cmpint (withdraw_all (budget), ==, 0);
   fb_advance_clock (clock, 10 * FB_SECOND);
-  g_assert_cmpint (take_all (budget), ==, 10);
+  g_assert_cmpint (withdraw_all (budget), ==, 10);
   for (int i = 0; i < 1000; i++)
     fr_deposit_retry (budget, service);
-  g_assert_cmpint (take_all (budget), ==, 100);
+  g_assert_cmpint (withdraw_all (budget), ==, 100);
   g_assert_true (fr_withdraw_retry (budget, FB_LITERAL ("other"), 0));
   fb_advance_clock (clock, 9 * FB_SECOND);
-  g_assert_cmpint (take_all (budget), ==, 0);
+  g_assert_cmpint (withdraw_all (budget), ==, 0);
   fb_advance_clock (clock, FB_SECOND);
-  g_assert_cmpint (take_all (budget), ==, 10);
+  g_assert_cmpint (withdraw_all (budget), ==, 10);
   fb_advance_clock (clock, 1000 * FB_SECOND);
-  g_assert_cmpint (take_all (budget), ==, 10);
+  g_assert_cmpint (withdraw_all (budget), ==, 10);
   fr_destroy_retry_budget (budget);
   fb_destroy_clock (clock);
 }
 
-/* Guards against less urgent work that uses up the retries of all, and against repeats below a
- * repeat that are counted by nobody. */
+/* Guards against less urgent calls that use up the whole budget, and against retries inside a
+ * repeated run that are not charged. */
 static void
 test_budget_ranks (void)
 {
@@ -86,7 +86,7 @@
   {
     int charged;
     uint32_t rank;
-    int taken; /* of 100 */
+    int withdrawn; /* of 100 */
   } cases[] = { { 0, 0, 100 }, { 0, 1, 75 },  { 0, 2, 50 }, { 0, 3, 25 },  { 0, 9, 25 },
                 { 60, 0, 40 }, { 60, 1, 15 }, { 60, 2, 0 }, { 100, 0, 0 }, { 130, 0, 0 } };
 
@@ -100,17 +100,17 @@
         fr_deposit_retry (budget, service);
       for (int j = 0; j < cases[i].charged; j++)
         fr_charge_retry (budget, service);
-      g_assert_cmpint (take_ranked (budget, cases[i].rank), ==, cases[i].taken);
+      g_assert_cmpint (withdraw_all_of_rank (budget, cases[i].rank), ==, cases[i].withdrawn);
       fr_destroy_retry_budget (budget);
       fb_destroy_clock (clock);
     }
 }
 
-/* Offers COUNT calls of CUSTOMER at 1,000 a second, of which every ACCEPT-th sent one is
- * accepted (0: none), and returns how many were sent. */
+/* Offers COUNT calls of CUSTOMER at 1,000 per second and returns the number sent. Of every
+ * ACCEPT_INTERVAL calls the first is accepted if sent; none when it is 0. */
 static int
 offer_calls (fr_throttle_t *throttle, fb_clock_t *clock, uint32_t rank, const char *customer,
-             int count, int accept)
+             int count, int accept_interval)
 {
   int sent = 0;
 
@@ -121,13 +121,13 @@
         continue;
       sent++;
       fr_report_customer (throttle, service, rank, fb_wrap_text (customer),
-                          accept > 0 && i % accept == 0);
+                          accept_interval > 0 && i % accept_interval == 0);
     }
   return sent;
 }
 
-/* Guards against floods that pass the entry node, against a throttle that never opens again,
- * and against calls in flight that count as refused. */
+/* Guards against floods that pass the entry node, against a throttle that never recovers, and
+ * against calls in flight that count as refused. */
 static void
 test_throttle (void)
 {
@@ -140,7 +140,7 @@
   g_assert_cmpint (offer_calls (throttle, clock, 0, "a", 5000, 1), ==, 5000);
   offer_calls (throttle, clock, 1, "a", 20000, 0);
   sent = offer_calls (throttle, clock, 1, "a", 10000, 0);
-  /* One probe in 100 ms, and the draw lets through few more. */
+  /* One probe per 100 ms, and few more by the random draw. */
   g_assert_cmpint (sent, >=, 90);
   g_assert_cmpint (sent, <, 200);
   g_assert_cmpint (offer_calls (throttle, clock, 0, "a", 100, 1), ==, 100);
@@ -150,8 +150,8 @@
   fb_destroy_clock (clock);
 }
 
-/* Guards against a customer that floods and costs others their calls, and against a flood of
- * many small customers that passes. */
+/* Guards against a flood of one customer that causes refusals of others, and against an
+ * unthrottled flood of many customers with few calls each. */
 static void
 test_throttle_customers (void)
 {
@@ -181,7 +181,7 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/retry/may-retry", test_may_retry);
+  g_test_add_func ("/retry/safe", test_retry_safe);
   g_test_add_func ("/retry/budget", test_budget);
   g_test_add_func ("/retry/budget-ranks", test_budget_ranks);
   g_test_add_func ("/throttle/rank", test_throttle);
--- a/packages/call/tests/test-split.c
+++ b/packages/call/tests/test-split.c
@@ -1,4 +1,4 @@
-/* Division of a route's calls by weight, and the choice of near instances. */
+/* Weighted split of the calls of a route, and the choice of instances by locality. */
 #include <foxtailrun/call/picker.h>
 #include <foxtailrun/call/splitter.h>
 #include <glib.h>
@@ -6,8 +6,8 @@
 #define CALLS 300
 #define ROUTES 40
 
-/* Guards against shares that stray from the weights over some run of calls, and against nodes
- * that all start with the same part. */
+/* Guards against counts that deviate from the weights over some sequence of calls, and against
+ * nodes that all start with the same part. */
 static void
 test_shares (void)
 {
@@ -59,9 +59,9 @@
     }
 }
 
-/* Guards against weights of an earlier configuration that stay in force. */
+/* Guards against weights of an earlier configuration that stay in use. */
 static void
-test_change (void)
+test_changed_weights (void)
 {
   fc_part_t parts[] = { { 1, 1 }, { 2, 99 } };
   fc_route_t route = { .name = fb_make_name ("r"), .parts = parts, .part_count = 2 };
@@ -94,21 +94,22 @@
   fr_update_instance (picker, &member);
 }
 
-/* Guards against calls that leave the zone when the detour saves little, calls that stay when
- * their zone is much slower, and an unreachable instance that is tried again at once. */
+/* Guards against calls that leave the zone although the detour saves little, calls that stay
+ * although their zone is much slower, and an unreachable instance that is picked again at once.
+ */
 static void
-test_near (void)
+test_locality (void)
 {
   static const struct
   {
-    int near_wait_ms; /* expected wait at the instance of the own zone */
+    int local_wait_ms; /* reported wait of the instance in the same zone */
     bool unreachable;
     const char *picked;
   } cases[] = {
-    { 0, false, "near" },
-    { 30, false, "near" },
-    { 150, false, "far" },
-    { 0, true, "far" },
+    { 0, false, "local" },
+    { 30, false, "local" },
+    { 150, false, "remote" },
+    { 0, true, "remote" },
   };
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -118,45 +119,46 @@
       fb_name_t zone = fb_make_name ("zone-a");
       fw_member_t own = { .id = self, .zone = zone, .region = fb_make_name ("region") };
       fr_picker_t *picker = fr_create_picker (FR_PICK_LOCALITY, &self, &zone, 1, clock);
-      fb_name_t near = fb_make_name ("near");
-      fb_name_t far = fb_make_name ("far");
+      fb_name_t local = fb_make_name ("local");
+      fb_name_t remote = fb_make_name ("remote");
       fb_name_t picked;
 
       fr_update_instance (picker, &own);
-      add_instance (picker, "near", "zone-a");
-      add_instance (picker, "far", "zone-b");
+      add_instance (picker, "local", "zone-a");
+      add_instance (picker, "remote", "zone-b");
       fb_advance_clock (clock, 60 * FB_SECOND);
-      fr_report_times (picker, &near, 0, 60 * FB_MILLISECOND,
-                       cases[i].near_wait_ms * FB_MILLISECOND);
-      fr_report_times (picker, &far, 0, 60 * FB_MILLISECOND, 0);
+      fr_report_times (picker, &local, 0, 60 * FB_MILLISECOND,
+                       cases[i].local_wait_ms * FB_MILLISECOND);
+      fr_report_times (picker, &remote, 0, 60 * FB_MILLISECOND, 0);
       if (cases[i].unreachable)
-        fr_report_ranked (picker, &near, 0, FR_RESULT_UNREACHABLE, 0, 0);
+        fr_report_ranked (picker, &local, 0, FR_RESULT_UNREACHABLE, 0, 0);
       g_assert_true (
           fr_pick_target (picker, service, 0, 200 * FB_MILLISECOND, NULL, 0, &picked));
       g_assert_cmpstr (picked.data, ==, cases[i].picked);
       fb_advance_clock (clock, 2 * FB_SECOND);
       g_assert_true (
           fr_pick_target (picker, service, 0, 200 * FB_MILLISECOND, NULL, 0, &picked));
-      g_assert_cmpstr (picked.data, ==, "near");
+      g_assert_cmpstr (picked.data, ==, "local");
       fr_destroy_picker (picker);
       fb_destroy_clock (clock);
     }
 }
 
-/* Guards against detours to another zone that are paid for and would still be late, and against
- * a service without an instance in the own zone that gets none at all. */
+/* Guards against detours to another zone that would miss the target anyway, and against failing
+ * picks for a service without an instance in the own zone. */
 static void
 test_late_detour (void)
 {
   static const struct
   {
-    bool near_exists;
-    bool near_tried;
-    int far_wait_ms;    /* expected wait at the instance of the other zone */
+    bool local_exists;
+    bool local_excluded;
+    int remote_wait_ms; /* reported wait of the instance in the other zone */
     const char *picked; /* NULL for none */
   } cases[] = {
-    { true, false, 0, "far" }, { true, false, 150, "near" }, { true, true, 0, "far" },
-    { true, true, 150, NULL }, { false, false, 0, "far" },   { false, false, 150, "far" },
+    { true, false, 0, "remote" },  { true, false, 150, "local" },
+    { true, true, 0, "remote" },   { true, true, 150, NULL },
+    { false, false, 0, "remote" }, { false, false, 150, "remote" },
   };
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -166,20 +168,20 @@
       fb_name_t zone = fb_make_name ("zone-a");
       fw_member_t own = { .id = self, .zone = zone, .region = fb_make_name ("region") };
       fr_picker_t *picker = fr_create_picker (FR_PICK_LOCALITY, &self, &zone, 1, clock);
-      fb_name_t near = fb_make_name ("near");
-      fb_name_t far = fb_make_name ("far");
+      fb_name_t local = fb_make_name ("local");
+      fb_name_t remote = fb_make_name ("remote");
       fb_name_t picked = { 0 };
 
       fr_update_instance (picker, &own);
-      if (cases[i].near_exists)
-        add_instance (picker, "near", "zone-a");
-      add_instance (picker, "far", "zone-b");
+      if (cases[i].local_exists)
+        add_instance (picker, "local", "zone-a");
+      add_instance (picker, "remote", "zone-b");
       fb_advance_clock (clock, 60 * FB_SECOND);
-      fr_report_times (picker, &near, 0, 60 * FB_MILLISECOND, FB_SECOND);
-      fr_report_times (picker, &far, 0, 60 * FB_MILLISECOND,
-                       cases[i].far_wait_ms * FB_MILLISECOND);
-      g_assert_cmpint (fr_pick_target (picker, service, 0, 200 * FB_MILLISECOND, &near,
-                                       cases[i].near_tried, &picked),
+      fr_report_times (picker, &local, 0, 60 * FB_MILLISECOND, FB_SECOND);
+      fr_report_times (picker, &remote, 0, 60 * FB_MILLISECOND,
+                       cases[i].remote_wait_ms * FB_MILLISECOND);
+      g_assert_cmpint (fr_pick_target (picker, service, 0, 200 * FB_MILLISECOND, &local,
+                                       cases[i].local_excluded, &picked),
                        ==, cases[i].picked != NULL);
       g_assert_cmpstr (picked.data, ==, cases[i].picked ? cases[i].picked : "");
       fr_destroy_picker (picker);
@@ -192,8 +194,8 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/call/split/shares", test_shares);
-  g_test_add_func ("/call/split/change", test_change);
-  g_test_add_func ("/call/near", test_near);
+  g_test_add_func ("/call/split/changed-weights", test_changed_weights);
+  g_test_add_func ("/call/locality", test_locality);
   g_test_add_func ("/call/late-detour", test_late_detour);
   return g_test_run ();
 }
--- a/packages/call/tests/test-timed.c
+++ b/packages/call/tests/test-timed.c
@@ -1,10 +1,10 @@
-/* Admission of calls with targets of their own. */
+/* Admission of calls with their own target time. */
 #include <foxtailrun/call/admission.h>
 #include <glib.h>
 
 #define SLOTS 2
 #define RANKS 2
-#define SERVICE (100 * FB_MILLISECOND)
+#define SERVICE_TIME (100 * FB_MILLISECOND)
 
 typedef struct
 {
@@ -15,49 +15,51 @@
 } fixture_t;
 
 static void
-note_start (void *call, void *user)
+on_start (void *call, void *user)
 {
   g_string_append_printf (((fixture_t *)user)->events, "+%d ", GPOINTER_TO_INT (call));
 }
 
 static void
-note_refusal (void *call, fr_refusal_t refusal, void *user)
+on_refuse (void *call, fr_refusal_t refusal, void *user)
 {
   g_string_append_printf (((fixture_t *)user)->events, "-%d ", GPOINTER_TO_INT (call));
 }
 
 static void
-offer_ranked (fixture_t *fixture, int number, uint32_t rank, int target_ms, bool again)
+offer_ranked (fixture_t *fixture, int number, uint32_t rank, int target_ms,
+              bool is_caller_retry)
 {
   fb_time_t now = fb_read_clock (fixture->clock);
-  fr_call_times_t times = { now + FB_SECOND, now + target_ms * FB_MILLISECOND, again };
+  fr_call_times_t times
+      = { now + FB_SECOND, now + target_ms * FB_MILLISECOND, is_caller_retry };
 
   fr_offer_call_with_times (fixture->admission, (uint64_t)number, GINT_TO_POINTER (number),
                             rank, FB_LITERAL ("c"), 1, &times);
 }
 
 static void
-offer (fixture_t *fixture, int number, int target_ms, bool again)
+offer (fixture_t *fixture, int number, int target_ms, bool is_caller_retry)
 {
-  offer_ranked (fixture, number, 0, target_ms, again);
+  offer_ranked (fixture, number, 0, target_ms, is_caller_retry);
 }
 
-/* Starts with calls of SERVICE in every slot and one past, so that the service time is known.
- */
+/* Creates admission with a call in every slot and one finished call of SERVICE_TIME, so that
+ * the average is known. */
 static void
 set_up (fixture_t *fixture)
 {
-  static const fr_rank_options_t rules[RANKS]
+  static const fr_rank_options_t rank_options[RANKS]
       = { { .latency_target = FB_SECOND }, { .latency_target = FB_SECOND } };
-  fr_admission_hooks_t hooks = { note_start, note_refusal, fixture };
+  fr_admission_hooks_t hooks = { on_start, on_refuse, fixture };
 
   fixture->clock = fb_create_manual_clock (100 * FB_SECOND);
   fixture->counters = fb_create_counters ();
   fixture->events = g_string_new ("");
-  fixture->admission = fr_create_admission (FR_POLICY_SHARES, SLOTS, rules, RANKS,
+  fixture->admission = fr_create_admission (FR_POLICY_SHARES, SLOTS, rank_options, RANKS,
                                             fixture->clock, fixture->counters, &hooks);
   offer (fixture, 1, 1000, false);
-  fb_advance_clock (fixture->clock, SERVICE);
+  fb_advance_clock (fixture->clock, SERVICE_TIME);
   fr_finish_call (fixture->admission, 1);
   offer (fixture, 2, 1000, false);
   offer (fixture, 3, 1000, false);
@@ -73,8 +75,8 @@
   fb_destroy_clock (fixture->clock);
 }
 
-/* Guards against a call that is queued although it would miss its target, which costs its
- * caller the time and the others a slot. */
+/* Guards against a call that is queued although it would miss its target, which delays its
+ * caller's retry and occupies a slot. */
 static void
 test_refuse_early (void)
 {
@@ -95,9 +97,9 @@
     }
 }
 
-/* Guards against a caller who was refused, came back and is served behind newer ones. */
+/* Guards against a caller's retry that is served behind newer calls. */
 static void
-test_again_first (void)
+test_caller_retry_first (void)
 {
   fixture_t fixture;
 
@@ -112,14 +114,14 @@
   tear_down (&fixture);
 }
 
-/* Guards against a slot for a call that has become late while one in time waits behind it, and
- * against the refusal of a late one when nobody else wants the slot. */
+/* Guards against a slot for a call that would miss its target while another waits behind it,
+ * and against the refusal of such a call when no other waits. */
 static void
-test_late_gives_way (void)
+test_late_call_skipped (void)
 {
   static const struct
   {
-    bool other;
+    bool other_waits;
     const char *events;
   } cases[] = { { true, "-4 +5 " }, { false, "+4 " } };
 
@@ -130,7 +132,7 @@
       set_up (&fixture);
       offer (&fixture, 4, 300, false);
       fb_advance_clock (fixture.clock, 250 * FB_MILLISECOND);
-      if (cases[i].other)
+      if (cases[i].other_waits)
         offer (&fixture, 5, 900, false);
       fr_finish_call (fixture.admission, 2);
       g_assert_cmpstr (fixture.events->str, ==, cases[i].events);
@@ -138,14 +140,14 @@
     }
 }
 
-/* Guards against calls of a rank that gets no slot which are held until their callers give up,
- * instead of being told to come back while there is time. */
+/* Guards against calls of a rank without free slots that wait until their callers time out
+ * instead of being refused while a retry can still be in time. */
 static void
 test_starved_rank (void)
 {
   static const struct
   {
-    bool again;
+    bool is_caller_retry;
     const char *events; /* of call 5 behind call 4, then of call 4 */
   } cases[] = { { false, "-5 -4 " }, { true, "-5 " } };
 
@@ -154,16 +156,16 @@
       fixture_t fixture;
 
       set_up (&fixture);
-      /* One call of rank 1, so that its service time is known. */
+      /* One call of rank 1, so that its average service time is known. */
       fr_finish_call (fixture.admission, 2);
       offer_ranked (&fixture, 9, 1, 1000, false);
-      fb_advance_clock (fixture.clock, SERVICE);
+      fb_advance_clock (fixture.clock, SERVICE_TIME);
       fr_finish_call (fixture.admission, 9);
       offer (&fixture, 2, 1000, false);
       for (int number = 10; number < 14; number++)
         offer (&fixture, number, 1000, false);
       g_string_truncate (fixture.events, 0);
-      offer_ranked (&fixture, 4, 1, 300, cases[i].again);
+      offer_ranked (&fixture, 4, 1, 300, cases[i].is_caller_retry);
       offer_ranked (&fixture, 5, 1, 300, false);
       fb_advance_clock (fixture.clock, 200 * FB_MILLISECOND);
       fr_tick_admission (fixture.admission);
@@ -177,8 +179,8 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/call/timed/refuse-early", test_refuse_early);
-  g_test_add_func ("/call/timed/again-first", test_again_first);
-  g_test_add_func ("/call/timed/late-gives-way", test_late_gives_way);
+  g_test_add_func ("/call/timed/caller-retry-first", test_caller_retry_first);
+  g_test_add_func ("/call/timed/late-call-skipped", test_late_call_skipped);
   g_test_add_func ("/call/timed/starved-rank", test_starved_rank);
   return g_test_run ();
 }
