--- a/packages/call/include/foxtailrun/call/admission.h
+++ b/packages/call/include/foxtailrun/call/admission.h
@@ -10,7 +10,7 @@
 /* Why a call was refused without being started. */
 typedef enum
 {
-  FR_REFUSED_FULL,     /* the rank's queue is full */
+  FR_REFUSED_FULL,     /* the rank's queue is full or the latency target cannot be met */
   FR_REFUSED_LATE,     /* the deadline cannot be met or has passed */
   FR_REFUSED_DRAINING, /* the node is leaving */
   FR_REFUSED_CANCELLED /* the caller cancelled it before it started */
--- a/packages/call/source/admission-queue.c
+++ b/packages/call/source/admission-queue.c
@@ -224,21 +224,21 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       flow_t *flow = value;
-      flow_t *target = fr_find_flow (to, fb_wrap_text (flow->customer), flow->weight);
+      flow_t *merged_flow = fr_find_flow (to, fb_wrap_text (flow->customer), flow->weight);
       entry_t *entry;
 
       unschedule_flow (flow);
-      unschedule_flow (target);
-      target->virtual_start = MAX (target->virtual_start, to->virtual_time)
-                              + MAX (0, flow->virtual_start - from->virtual_time);
-      target->started += flow->started;
+      unschedule_flow (merged_flow);
+      merged_flow->virtual_start = MAX (merged_flow->virtual_start, to->virtual_time)
+                                   + MAX (0, flow->virtual_start - from->virtual_time);
+      merged_flow->started += flow->started;
       while ((entry = g_queue_peek_head (&flow->waiting)) != NULL)
         {
           g_queue_unlink (&flow->waiting, &entry->link);
-          g_queue_push_tail_link (&target->waiting, &entry->link);
-          entry->flow = target;
+          g_queue_push_tail_link (&merged_flow->waiting, &entry->link);
+          entry->flow = merged_flow;
           entry->is_caller_retry = false;
         }
-      schedule_flow (target);
+      schedule_flow (merged_flow);
     }
 }
--- a/packages/call/source/admission-state.h
+++ b/packages/call/source/admission-state.h
@@ -5,6 +5,7 @@
 #include <foxtailrun/call/admission.h>
 #include <glib.h>
 
+/* Time constant of the decaying average of slots in use. */
 #define USAGE_TIME_CONSTANT FB_SECOND
 
 /* Queue length limit of a rank whose options give 0. */
@@ -80,7 +81,7 @@
   size_t waiting;
   uint64_t arrival_count;
   fb_time_t usage_updated_at; /* time of the last fr_update_usage */
-  double concurrency_limit;   /* FR_POLICY_ADAPTIVE: calls started and waiting */
+  double concurrency_limit;   /* FR_POLICY_ADAPTIVE: of started and waiting calls */
   bool draining;
   bool delivering;
   GQueue events; /* event_t */
--- a/packages/call/source/once-record.c
+++ b/packages/call/source/once-record.c
@@ -86,7 +86,7 @@
   g_free (once);
 }
 
-/* Returns the nonce of SERIAL, without which a ticket cannot be forged. */
+/* Returns the keyed nonce of SERIAL, which prevents the forgery of tickets. */
 static uint64_t
 compute_nonce (const fr_once_t *once, uint64_t serial)
 {
@@ -106,7 +106,8 @@
               once->node.data, once->start_id, serial, compute_nonce (once, serial));
 }
 
-/* Frees the answer of RECORD; the record that it ran stays. */
+/* Frees the answer of RECORD; the record itself remains, so that the call does not run again.
+ */
 static void
 evict_answer (fr_once_t *once, record_t *record)
 {
--- a/packages/call/source/retry-throttle.c
+++ b/packages/call/source/retry-throttle.c
@@ -6,14 +6,14 @@
  * once; with 2 a flood costs a node as many refusals as accepted calls. */
 #define ADMITTED_PER_ACCEPTED 2.0
 
-/* Ended calls in the window from which the throttle acts, and a customer gets its own window.
+/* Ended calls in a window from which the throttle acts and a customer leaves the shared window.
  */
 #define SAMPLE_CALLS_MIN 20
 
 /* Longest time without an admitted call while calls are offered. */
 #define PROBE_INTERVAL (100 * FB_MILLISECOND)
 
-/* Calls of customers beyond this number are counted in the shared window. */
+/* While there are this many windows, all calls are counted in the shared ones. */
 #define WINDOWS_MAX 10000
 
 struct fr_throttle
--- a/packages/call/source/route-state.h
+++ b/packages/call/source/route-state.h
@@ -6,7 +6,7 @@
 #include <foxtailrun/config/snapshot.h>
 #include <glib.h>
 
-/* Number of instances of one service that a node sends calls to. */
+/* Limit of the instances of one service that a node sends calls to. */
 #define SUBSET_SIZE_MAX 16
 
 /* Places in the subset for instances of the same zone and of other zones of the same region. */
