--- a/packages/call/source/once-record.c
+++ b/packages/call/source/once-record.c
@@ -1,4 +1,4 @@
-/* Records of the serials that ran, and their answers. */
+/* Records of used serials and their answers. */
 #include <foxtailrun/base/invariant.h>
 #include <foxtailrun/call/once.h>
 #include <glib.h>
@@ -11,10 +11,10 @@
   uint64_t serial;
   uint64_t request_digest;
   bool running;
-  bool refused;    /* told as not run */
-  uint8_t *answer; /* NULL when none is held */
+  bool refused;    /* reported as not run */
+  uint8_t *answer; /* NULL when none is recorded */
   size_t answer_len;
-  GList link; /* in answered, while an answer is held */
+  GList link; /* in answered, while answer is not NULL */
 } record_t;
 
 struct fr_once
@@ -25,8 +25,9 @@
   size_t max_records;
   size_t max_bytes;
   uint64_t next_serial;
-  /* Serials below it without a record count as run: their records may have been dropped. */
-  uint64_t low_water;
+  /* Serials below it without a record count as run, because their records may have been
+   * evicted. */
+  uint64_t low_water_serial;
   GHashTable *records; /* serial -> record_t */
   GTree *completed;    /* serial -> record_t that is not running */
   GQueue answered;     /* record_t with an answer, oldest completion first */
@@ -67,7 +68,7 @@
   once->max_records = max_records;
   once->max_bytes = max_bytes;
   once->next_serial = 1;
-  once->low_water = 1;
+  once->low_water_serial = 1;
   once->records = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, destroy_record);
   once->completed = g_tree_new_full (compare_serials, NULL, NULL, NULL);
   g_queue_init (&once->answered);
@@ -85,7 +86,7 @@
   g_free (once);
 }
 
-/* Returns the nonce of SERIAL: nobody else can make a ticket that was not issued. */
+/* Returns the keyed nonce of SERIAL, which prevents the forgery of tickets. */
 static uint64_t
 compute_nonce (const fr_once_t *once, uint64_t serial)
 {
@@ -105,9 +106,10 @@
               once->node.data, once->start_id, serial, compute_nonce (once, serial));
 }
 
-/* Drops the answer of RECORD and keeps the fact that it ran. */
+/* Frees the answer of RECORD; the record itself remains, so that the call does not run again.
+ */
 static void
-drop_answer (fr_once_t *once, record_t *record)
+evict_answer (fr_once_t *once, record_t *record)
 {
   if (record->answer == NULL)
     return;
@@ -118,9 +120,9 @@
   record->answer_len = 0;
 }
 
-/* Drops the completed record with the lowest serial; returns false when all are running. */
+/* Removes the completed record with the lowest serial; returns false when all are running. */
 static bool
-drop_record (fr_once_t *once)
+evict_record (fr_once_t *once)
 {
   GTreeNode *first = g_tree_node_first (once->completed);
   record_t *record;
@@ -128,15 +130,15 @@
   if (first == NULL)
     return false;
   record = g_tree_node_value (first);
-  drop_answer (once, record);
-  once->low_water = MAX (once->low_water, record->serial + 1);
+  evict_answer (once, record);
+  once->low_water_serial = MAX (once->low_water_serial, record->serial + 1);
   g_tree_remove (once->completed, &record->serial);
   g_hash_table_remove (once->records, &record->serial);
   return true;
 }
 
 static fr_once_state_t
-find_state (const record_t *record, uint64_t request_digest, fb_bytes_t *answer)
+get_record_state (const record_t *record, uint64_t request_digest, fb_bytes_t *answer)
 {
   if (record->refused)
     return FR_ONCE_REFUSED;
@@ -150,8 +152,8 @@
   return FR_ONCE_ANSWERED;
 }
 
-/* Finds what is known of TICKET, or with FR_ONCE_RUN a new record in *CREATED, which counts as
- * running. */
+/* Returns the state of an earlier use of TICKET, or FR_ONCE_RUN with a new running record in
+ * *CREATED. */
 static fr_once_state_t
 find_or_create (fr_once_t *once, const fr_ticket_t *ticket, uint64_t request_digest,
                 fb_bytes_t *answer, record_t **created)
@@ -168,12 +170,11 @@
     return FR_ONCE_INVALID;
   record = g_hash_table_lookup (once->records, &ticket->serial);
   if (record != NULL)
-    return find_state (record, request_digest, answer);
-  if (ticket->serial < once->low_water)
+    return get_record_state (record, request_digest, answer);
+  if (ticket->serial < once->low_water_serial)
     return FR_ONCE_UNKNOWN;
-  /* From here on it is known that the serial never ran, even if the low-water mark passes it.
-   */
-  if (g_hash_table_size (once->records) >= once->max_records && !drop_record (once))
+  /* The serial has not run, even if evict_record raises the low-water mark above it. */
+  if (g_hash_table_size (once->records) >= once->max_records && !evict_record (once))
     return FR_ONCE_UNKNOWN;
   record = g_new0 (record_t, 1);
   record->serial = ticket->serial;
@@ -239,7 +240,7 @@
   once->bytes += answer.len;
   g_queue_push_tail_link (&once->answered, &record->link);
   while (once->bytes > once->max_bytes)
-    drop_answer (once, g_queue_peek_head (&once->answered));
+    evict_answer (once, g_queue_peek_head (&once->answered));
 }
 
 void
--- a/packages/call/source/once-ticket.c
+++ b/packages/call/source/once-ticket.c
@@ -1,19 +1,19 @@
-/* Tickets as text. */
+/* Text format of tickets. */
 #include <foxtailrun/call/once.h>
 #include <string.h>
 
-/* Most hexadecimal digits of a 64-bit number. */
-#define HEX_DIGITS_MAX 16
+#define UINT64_HEX_DIGITS_MAX 16
 
-/* Cuts the last field after a dash off TEXT and parses it as lower-case hexadecimal. */
+/* Parses the field behind the last dash of TEXT as lower-case hexadecimal and removes it from
+ * TEXT. */
 static bool
-take_hex (fb_str_t *text, uint64_t *value)
+parse_last_hex_field (fb_str_t *text, uint64_t *value)
 {
   size_t start = text->len;
 
   while (start > 0 && text->data[start - 1] != '-')
     start--;
-  if (start == 0 || start == text->len || text->len - start > HEX_DIGITS_MAX)
+  if (start == 0 || start == text->len || text->len - start > UINT64_HEX_DIGITS_MAX)
     return false;
   *value = 0;
   for (size_t i = start; i < text->len; i++)
@@ -43,8 +43,9 @@
     return FB_INVALID;
   text.data += prefix.len;
   text.len -= prefix.len;
-  if (!take_hex (&text, &ticket->nonce) || !take_hex (&text, &ticket->serial)
-      || !take_hex (&text, &ticket->start_id))
+  if (!parse_last_hex_field (&text, &ticket->nonce)
+      || !parse_last_hex_field (&text, &ticket->serial)
+      || !parse_last_hex_field (&text, &ticket->start_id))
     return FB_INVALID;
   if (text.len == 0 || !fb_set_name (&ticket->node, text))
     return FB_INVALID;
--- a/packages/call/source/retry-window.c
+++ b/packages/call/source/retry-window.c
@@ -1,56 +1,56 @@
-/* Two counts over a sliding window. */
+/* Sliding windows with two counts. */
 #include "retry-window.h"
 
 const fr_window_count_t *
-fr_move_window (fr_window_t *window, fb_time_t now)
+fr_advance_window (fr_window_t *window, fb_time_t now)
 {
-  int64_t part = now / (FR_WINDOW / FR_WINDOW_PARTS);
+  int64_t bucket_number = now / (FR_WINDOW_LENGTH / FR_WINDOW_BUCKETS);
 
-  if (part - window->part >= FR_WINDOW_PARTS)
-    window->part = part - FR_WINDOW_PARTS;
-  while (window->part < part)
+  if (bucket_number - window->bucket_number >= FR_WINDOW_BUCKETS)
+    window->bucket_number = bucket_number - FR_WINDOW_BUCKETS;
+  while (window->bucket_number < bucket_number)
     {
-      fr_window_count_t *oldest = &window->parts[++window->part % FR_WINDOW_PARTS];
+      fr_window_count_t *oldest = &window->buckets[++window->bucket_number % FR_WINDOW_BUCKETS];
 
-      window->sum.offered -= oldest->offered;
-      window->sum.taken -= oldest->taken;
+      window->sum.calls -= oldest->calls;
+      window->sum.granted -= oldest->granted;
       *oldest = (fr_window_count_t){ 0, 0 };
     }
-  if (window->sum.offered == 0)
-    window->apart = false;
+  if (window->sum.calls == 0)
+    window->counted_separately = false;
   return &window->sum;
 }
 
 void
-fr_add_window (fr_window_t *window, fb_time_t now, uint64_t offered, uint64_t taken)
+fr_add_to_window (fr_window_t *window, fb_time_t now, uint64_t calls, uint64_t granted)
 {
-  fr_window_count_t *part;
+  fr_window_count_t *bucket;
 
-  fr_move_window (window, now);
-  part = &window->parts[window->part % FR_WINDOW_PARTS];
-  part->offered += offered;
-  part->taken += taken;
-  window->sum.offered += offered;
-  window->sum.taken += taken;
+  fr_advance_window (window, now);
+  bucket = &window->buckets[window->bucket_number % FR_WINDOW_BUCKETS];
+  bucket->calls += calls;
+  bucket->granted += granted;
+  window->sum.calls += calls;
+  window->sum.granted += granted;
 }
 
 void
-fr_subtract_window (fr_window_t *whole, const fr_window_t *part)
+fr_subtract_window (fr_window_t *total, const fr_window_t *window)
 {
-  for (size_t i = 0; i < FR_WINDOW_PARTS; i++)
+  for (size_t i = 0; i < FR_WINDOW_BUCKETS; i++)
     {
-      whole->parts[i].offered -= part->parts[i].offered;
-      whole->parts[i].taken -= part->parts[i].taken;
+      total->buckets[i].calls -= window->buckets[i].calls;
+      total->buckets[i].granted -= window->buckets[i].granted;
     }
-  whole->sum.offered -= part->sum.offered;
-  whole->sum.taken -= part->sum.taken;
+  total->sum.calls -= window->sum.calls;
+  total->sum.granted -= window->sum.granted;
 }
 
 void
 fr_init_windows (fr_windows_t *windows)
 {
   windows->table = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  windows->last_sweep = 0;
+  windows->last_sweep_at = 0;
 }
 
 void
@@ -62,8 +62,8 @@
 static gboolean
 is_window_empty (void *key, void *value, void *user)
 {
-  return fr_move_window (value, *(const fb_time_t *)user)->offered == 0
-         && ((fr_window_t *)value)->sum.taken == 0;
+  return fr_advance_window (value, *(const fb_time_t *)user)->calls == 0
+         && ((fr_window_t *)value)->sum.granted == 0;
 }
 
 fr_window_t *
@@ -71,9 +71,9 @@
 {
   fr_window_t *window;
 
-  if (now - windows->last_sweep >= FR_WINDOW)
+  if (now - windows->last_sweep_at >= FR_WINDOW_LENGTH)
     {
-      windows->last_sweep = now;
+      windows->last_sweep_at = now;
       g_hash_table_foreach_remove (windows->table, is_window_empty, &now);
     }
   window = g_hash_table_lookup (windows->table, key);
--- a/packages/call/source/route-pick.c
+++ b/packages/call/source/route-pick.c
@@ -1,4 +1,4 @@
-/* Picker: keeps the instances of each service and chooses one for each attempt. */
+/* Picker: maintains the instances of each service and picks one for each attempt. */
 #include "route-state.h"
 #include <foxtailrun/base/digest.h>
 #include <foxtailrun/base/invariant.h>
@@ -55,7 +55,7 @@
 }
 
 static service_t *
-add_service (fr_picker_t *picker, const fb_name_t *name)
+find_or_add_service (fr_picker_t *picker, const fb_name_t *name)
 {
   service_t *service = g_hash_table_lookup (picker->services, name->data);
 
@@ -69,22 +69,23 @@
   return service;
 }
 
-/* Takes INSTANCE out of its service; it is kept while calls are in flight on it. */
+/* Removes INSTANCE from its service; the entry remains while calls are in flight on it. */
 static void
 remove_instance (fr_picker_t *picker, instance_t *instance)
 {
-  if (!instance->gone)
+  if (!instance->removed)
     {
-      instance->gone = true;
-      instance->member_of_subset = false;
+      instance->removed = true;
+      instance->in_subset = false;
       g_ptr_array_remove (instance->service->instances, instance);
-      instance->service->stale = true;
+      instance->service->subset_stale = true;
     }
   if (instance->in_flight == 0)
     g_hash_table_remove (picker->instances, instance->member.id.data);
 }
 
-/* Adds MEMBER, or an instance that was gone, as a new instance. */
+/* Adds MEMBER as a new instance; INSTANCE is its removed entry with calls in flight, or NULL.
+ */
 static void
 add_instance (fr_picker_t *picker, const fw_member_t *member, instance_t *instance)
 {
@@ -95,25 +96,25 @@
       g_hash_table_insert (picker->instances, instance->member.id.data, instance);
     }
   instance->member = *member;
-  instance->service = add_service (picker, &member->service);
-  instance->weight
+  instance->service = find_or_add_service (picker, &member->service);
+  instance->rendezvous_weight
       = fb_get_rendezvous_weight (fb_get_name (&picker->self), fb_get_name (&member->id));
-  instance->gone = false;
+  instance->removed = false;
   for (int i = 0; i < FC_RANKS_MAX; i++)
-    instance->ranks[i] = (traffic_t){ .in_flight = instance->ranks[i].in_flight };
+    instance->rank_stats[i] = (rank_stats_t){ .in_flight = instance->rank_stats[i].in_flight };
   instance->load = 0;
-  instance->failures = 0;
+  instance->consecutive_failures = 0;
   instance->ejections = 0;
-  instance->unreachable = 0;
+  instance->consecutive_unreachable = 0;
   instance->ejected_until = 0;
-  instance->joined = fb_read_clock (picker->clock);
+  instance->slow_start_begin = fb_read_clock (picker->clock);
   g_ptr_array_add (instance->service->instances, instance);
-  instance->service->stale = true;
+  instance->service->subset_stale = true;
 }
 
-/* Learns the region from this node's own description. */
+/* Sets the own region from this node's MEMBER record. */
 static void
-learn_region (fr_picker_t *picker, const fw_member_t *member)
+set_own_region (fr_picker_t *picker, const fw_member_t *member)
 {
   GHashTableIter iter;
   void *value;
@@ -123,43 +124,43 @@
   picker->region = member->region;
   g_hash_table_iter_init (&iter, picker->services);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    ((service_t *)value)->stale = true;
+    ((service_t *)value)->subset_stale = true;
 }
 
 void
 fr_update_instance (fr_picker_t *picker, const fw_member_t *member)
 {
   instance_t *instance = g_hash_table_lookup (picker->instances, member->id.data);
-  bool present
+  bool available
       = (member->state == FW_ALIVE || member->state == FW_SUSPECT) && member->service.len > 0;
-  bool moved;
+  bool location_changed;
 
   if (fb_equal_name (&member->id, &picker->self))
-    learn_region (picker, member);
-  if (!present)
+    set_own_region (picker, member);
+  if (!available)
     {
       if (instance != NULL)
         remove_instance (picker, instance);
       return;
     }
-  if (instance == NULL || instance->gone)
+  if (instance == NULL || instance->removed)
     {
       add_instance (picker, member, instance);
       return;
     }
   if (!fb_equal_name (&instance->member.service, &member->service))
     {
-      instance->in_flight++; /* keeps the entry while it changes its service */
+      instance->in_flight++; /* keeps the entry while its service changes */
       remove_instance (picker, instance);
       instance->in_flight--;
       add_instance (picker, member, instance);
       return;
     }
-  moved = !fb_equal_name (&instance->member.zone, &member->zone)
-          || !fb_equal_name (&instance->member.region, &member->region);
+  location_changed = !fb_equal_name (&instance->member.zone, &member->zone)
+                     || !fb_equal_name (&instance->member.region, &member->region);
   instance->member = *member;
-  if (moved)
-    instance->service->stale = true;
+  if (location_changed)
+    instance->service->subset_stale = true;
 }
 
 static bool
@@ -171,12 +172,12 @@
   return false;
 }
 
-/* Collects the instances within REACH in the given state and returns whether each of them is
- * full. */
+/* Collects the subset's instances up to MAX_DISTANCE with STATE and EJECTED; returns whether
+ * all of them are full. */
 static bool
-collect_candidates (const fr_picker_t *picker, const service_t *service, nearness_t reach,
-                    fw_member_state_t state, bool ejected, const fb_name_t *excluded,
-                    size_t excluded_count, candidates_t *candidates)
+collect_candidates (const fr_picker_t *picker, const service_t *service,
+                    distance_t max_distance, fw_member_state_t state, bool ejected,
+                    const fb_name_t *excluded, size_t excluded_count, candidates_t *candidates)
 {
   fb_time_t now = fb_read_clock (picker->clock);
   bool full = true;
@@ -186,11 +187,11 @@
     {
       instance_t *instance = g_ptr_array_index (service->subset, i);
 
-      if (fr_get_nearness (picker, instance) > reach || instance->member.state != state
+      if (fr_get_distance (picker, instance) > max_distance || instance->member.state != state
           || fr_is_ejected (instance, now) != ejected
           || is_excluded (instance, excluded, excluded_count))
         continue;
-      FB_INVARIANT (candidates->count < SUBSET_MAX);
+      FB_INVARIANT (candidates->count < SUBSET_SIZE_MAX);
       candidates->instances[candidates->count++] = instance;
       full = full && fr_is_full (instance, now);
     }
@@ -201,28 +202,29 @@
 fr_find_candidates (const fr_picker_t *picker, const service_t *service,
                     const fb_name_t *excluded, size_t excluded_count, candidates_t *candidates)
 {
-  for (int near = 0; near < NEAR_COUNT; near++)
+  for (int distance = 0; distance < DISTANCE_COUNT; distance++)
     {
-      bool full = collect_candidates (picker, service, (nearness_t)near, FW_ALIVE, false,
+      bool full = collect_candidates (picker, service, (distance_t)distance, FW_ALIVE, false,
                                       excluded, excluded_count, candidates);
 
       if (candidates->count >= 2 && !full)
         return;
     }
   if (candidates->count == 0)
-    collect_candidates (picker, service, NEAR_OTHER, FW_ALIVE, true, excluded, excluded_count,
-                        candidates);
+    collect_candidates (picker, service, DISTANCE_OTHER, FW_ALIVE, true, excluded,
+                        excluded_count, candidates);
   if (candidates->count == 0)
-    collect_candidates (picker, service, NEAR_OTHER, FW_SUSPECT, false, excluded,
+    collect_candidates (picker, service, DISTANCE_OTHER, FW_SUSPECT, false, excluded,
                         excluded_count, candidates);
   if (candidates->count == 0)
-    collect_candidates (picker, service, NEAR_OTHER, FW_SUSPECT, true, excluded, excluded_count,
-                        candidates);
+    collect_candidates (picker, service, DISTANCE_OTHER, FW_SUSPECT, true, excluded,
+                        excluded_count, candidates);
 }
 
-/* Draws one candidate other than TAKEN; an instance in its slow start is drawn less often. */
+/* Draws one candidate other than DRAWN, weighted by slow start; returns NULL when there is
+ * none. */
 static instance_t *
-draw_candidate (fr_picker_t *picker, const candidates_t *candidates, const instance_t *taken,
+draw_candidate (fr_picker_t *picker, const candidates_t *candidates, const instance_t *drawn,
                 fb_time_t now)
 {
   instance_t *last = NULL;
@@ -230,15 +232,15 @@
   double point;
 
   for (size_t i = 0; i < candidates->count; i++)
-    if (candidates->instances[i] != taken)
-      total += fr_get_warmth (candidates->instances[i], now);
+    if (candidates->instances[i] != drawn)
+      total += fr_get_slow_start_weight (candidates->instances[i], now);
   point = g_rand_double (picker->random) * total;
   for (size_t i = 0; i < candidates->count; i++)
     {
-      if (candidates->instances[i] == taken)
+      if (candidates->instances[i] == drawn)
         continue;
       last = candidates->instances[i];
-      point -= fr_get_warmth (last, now);
+      point -= fr_get_slow_start_weight (last, now);
       if (point < 0)
         break;
     }
@@ -246,7 +248,8 @@
 }
 
 static instance_t *
-pick_two (fr_picker_t *picker, const candidates_t *candidates, uint32_t rank, fb_time_t now)
+pick_two_choices (fr_picker_t *picker, const candidates_t *candidates, uint32_t rank,
+                  fb_time_t now)
 {
   instance_t *first = draw_candidate (picker, candidates, NULL, now);
   instance_t *second = draw_candidate (picker, candidates, first, now);
@@ -257,15 +260,15 @@
                                                                                       : first;
 }
 
-/* The baselines. */
+/* Picks by one of the baseline policies without scores. */
 static instance_t *
-pick_plain (const fr_picker_t *picker, service_t *service, const candidates_t *candidates,
-            fb_str_t key)
+pick_baseline (const fr_picker_t *picker, service_t *service, const candidates_t *candidates,
+               fb_str_t key)
 {
   instance_t *best = candidates->instances[0];
 
   if (picker->policy == FR_PICK_ROUND_ROBIN)
-    return candidates->instances[service->turn++ % candidates->count];
+    return candidates->instances[service->round_robin_next++ % candidates->count];
   for (size_t i = 1; i < candidates->count; i++)
     {
       instance_t *other = candidates->instances[i];
@@ -279,9 +282,9 @@
   return best;
 }
 
-/* Returns RANK within the number of ranks that a configuration may have. */
+/* Returns RANK limited to the ranks that a configuration may have. */
 static uint32_t
-limit_rank (uint32_t rank)
+clamp_rank (uint32_t rank)
 {
   return MIN (rank, FC_RANKS_MAX - 1);
 }
@@ -290,23 +293,25 @@
 begin_attempt (instance_t *instance, uint32_t rank)
 {
   instance->in_flight++;
-  instance->ranks[limit_rank (rank)].in_flight++;
+  instance->rank_stats[clamp_rank (rank)].in_flight++;
 }
 
-/* Collects the candidates of FR_PICK_LOCALITY, which weighs distance itself. */
+/* Collects the candidates of FR_PICK_LOCALITY at all distances. */
 static void
-find_all (const fr_picker_t *picker, const service_t *service, const fb_name_t *excluded,
-          size_t excluded_count, candidates_t *candidates)
+collect_locality_candidates (const fr_picker_t *picker, const service_t *service,
+                             const fb_name_t *excluded, size_t excluded_count,
+                             candidates_t *candidates)
 {
-  collect_candidates (picker, service, NEAR_OTHER, FW_ALIVE, false, excluded, excluded_count,
-                      candidates);
+  collect_candidates (picker, service, DISTANCE_OTHER, FW_ALIVE, false, excluded,
+                      excluded_count, candidates);
   if (candidates->count == 0)
     fr_find_candidates (picker, service, excluded, excluded_count, candidates);
 }
 
 bool
-fr_pick_target (fr_picker_t *picker, fb_str_t service_name, uint32_t rank, fb_time_t target,
-                const fb_name_t *excluded, size_t excluded_count, fb_name_t *picked)
+fr_pick_target (fr_picker_t *picker, fb_str_t service_name, uint32_t rank,
+                fb_time_t latency_target, const fb_name_t *excluded, size_t excluded_count,
+                fb_name_t *picked)
 {
   service_t *service = fr_find_service (picker, service_name);
   candidates_t candidates;
@@ -317,11 +322,11 @@
                            excluded_count, picked);
   if (service == NULL)
     return false;
-  find_all (picker, service, excluded, excluded_count, &candidates);
+  collect_locality_candidates (picker, service, excluded, excluded_count, &candidates);
   if (candidates.count == 0)
     return false;
-  instance = fr_pick_near (picker, &candidates, limit_rank (rank), target, excluded_count > 0,
-                           fb_read_clock (picker->clock));
+  instance = fr_pick_by_locality (picker, &candidates, clamp_rank (rank), latency_target,
+                                  excluded_count > 0, fb_read_clock (picker->clock));
   if (instance == NULL)
     return false;
   begin_attempt (instance, rank);
@@ -343,9 +348,10 @@
   if (candidates.count == 0)
     return false;
   if (picker->policy == FR_PICK_TWO_CHOICES)
-    instance = pick_two (picker, &candidates, limit_rank (rank), fb_read_clock (picker->clock));
+    instance = pick_two_choices (picker, &candidates, clamp_rank (rank),
+                                 fb_read_clock (picker->clock));
   else
-    instance = pick_plain (picker, service, &candidates, key);
+    instance = pick_baseline (picker, service, &candidates, key);
   begin_attempt (instance, rank);
   *picked = instance->member.id;
   return true;
@@ -379,31 +385,31 @@
 {
   instance_t *instance = g_hash_table_lookup (picker->instances, name->data);
   fb_time_t now = fb_read_clock (picker->clock);
-  traffic_t *traffic;
+  rank_stats_t *stats;
 
   if (instance == NULL)
     return;
-  traffic = &instance->ranks[limit_rank (rank)];
-  /* A call that began before the instance was known is not counted in flight. */
-  if (traffic->in_flight > 0)
+  stats = &instance->rank_stats[clamp_rank (rank)];
+  /* A call that began before the instance was added is not counted in flight. */
+  if (stats->in_flight > 0)
     {
-      traffic->in_flight--;
+      stats->in_flight--;
       instance->in_flight--;
     }
   if (result == FR_RESULT_ANSWERED || result == FR_RESULT_FAILED)
     {
       fr_refresh_subset (picker, instance->service);
-      fr_sample_latency (instance, limit_rank (rank), latency, result == FR_RESULT_FAILED, now);
-      fr_count_attempt (instance, result == FR_RESULT_FAILED, now);
+      fr_sample_latency (instance, clamp_rank (rank), latency, result == FR_RESULT_FAILED, now);
+      fr_record_attempt (instance, result == FR_RESULT_FAILED, now);
     }
   if (result == FR_RESULT_UNREACHABLE)
-    fr_avoid_instance (instance, now);
+    fr_eject_unreachable (instance, now);
   if (result == FR_RESULT_ANSWERED || result == FR_RESULT_REFUSED)
     {
       instance->load = load;
-      instance->load_time = now;
+      instance->load_reported_at = now;
     }
-  if (instance->gone && instance->in_flight == 0)
+  if (instance->removed && instance->in_flight == 0)
     g_hash_table_remove (picker->instances, instance->member.id.data);
 }
 
@@ -415,12 +421,12 @@
 }
 
 void
-fr_avoid_until (fr_picker_t *picker, const fb_name_t *name, fb_time_t time)
+fr_avoid_until (fr_picker_t *picker, const fb_name_t *name, fb_time_t until)
 {
   instance_t *instance = g_hash_table_lookup (picker->instances, name->data);
 
   if (instance != NULL)
-    instance->ejected_until = MAX (instance->ejected_until, time);
+    instance->ejected_until = MAX (instance->ejected_until, until);
 }
 
 size_t
