--- a/packages/node/source/node-entry-attempt.c
+++ b/packages/node/source/node-entry-attempt.c
@@ -32,21 +32,21 @@
 static fb_str_t
 get_service_name (const fn_entry_call_t *call)
 {
-  return fb_get_name (&fc_get_service (call->snapshot, call->service)->name);
+  return fb_get_name (&fc_get_service (call->snapshot, call->service_index)->name);
 }
 
-/* Closes the open attempt's books; returns the name of the instance tried. */
+/* Removes the open attempt; returns the name of its instance. */
 static const fb_name_t *
 close_attempt (fn_entry_call_t *call)
 {
-  g_hash_table_remove (call->entry->attempts, &call->attempt);
-  call->attempt = 0;
+  g_hash_table_remove (call->entry->attempts, &call->attempt_id);
+  call->attempt_id = 0;
   call->local_handle = 0;
-  return &call->tried[call->attempt_count - 1];
+  return &call->tried_instances[call->attempt_count - 1];
 }
 
 static fr_result_t
-judge_answer (const fw_call_t *answer)
+classify_answer (const fw_call_t *answer)
 {
   if (answer->outcome == FW_NOT_RUN && answer->retry_elsewhere)
     return FR_RESULT_UNREACHABLE;
@@ -57,7 +57,7 @@
   return FR_RESULT_FAILED;
 }
 
-/* Returns whether the backend server's answer says that it failed and another may do better. */
+/* Returns whether ANSWER is an error of the backend server that another one need not share. */
 static bool
 is_server_failure (const fw_call_t *answer)
 {
@@ -65,14 +65,14 @@
          && (answer->status == 500 || (answer->status >= 502 && answer->status <= 504));
 }
 
-/* Returns whether another attempt follows ANSWER. A refusal that other instances need not share
- * must not cost a call, so that it is retried beyond the route's limit. The budget is for what
- * arrives at a backend server more than once. */
+/* Returns whether another attempt follows ANSWER, and counts it against its limit. A refusal by
+ * a single node must not fail the call, so that it is retried beyond the route's limit. The
+ * retry budget limits only calls that reach backend servers more than once. */
 static bool
-may_try_again (fn_entry_call_t *call, const fw_call_t *answer)
+acquire_retry (fn_entry_call_t *call, const fw_call_t *answer)
 {
   const fc_route_t *route = call->route;
-  bool elsewhere = answer->outcome == FW_NOT_RUN && answer->retry_elsewhere;
+  bool retry_elsewhere = answer->outcome == FW_NOT_RUN && answer->retry_elsewhere;
   fw_outcome_t outcome = is_server_failure (answer) ? FW_FAILED : answer->outcome;
 
   if (outcome == FW_ANSWERED || answer->status == 428 || answer->status == 422)
@@ -81,9 +81,9 @@
     return false;
   if (!fr_is_retry_safe (outcome, route->repeatable, call->ticket.len > 0))
     return false;
-  if (elsewhere)
+  if (retry_elsewhere)
     return call->retry_elsewhere_count++ < FN_RETRY_ELSEWHERE_MAX;
-  /* A full queue costs the other node little, and another instance may have room. */
+  /* Refusing a call costs a node little, and the queue of another instance may have room. */
   if (outcome == FW_NOT_RUN && answer->status == 429
       && call->queue_full_count < FN_QUEUE_FULL_RETRIES_MAX)
     {
@@ -100,19 +100,19 @@
 end_attempt (fn_entry_call_t *call, const fw_call_t *answer)
 {
   fn_entry_t *entry = call->entry;
-  const fb_name_t *tried = close_attempt (call);
+  const fb_name_t *instance = close_attempt (call);
   bool accepted = answer->outcome != FW_NOT_RUN || answer->status == 428;
 
-  fr_report_times (entry->picker, tried, call->route->rank,
+  fr_report_times (entry->picker, instance, call->route->rank,
                    (fb_time_t)answer->service_us * FB_MICROSECOND,
                    (fb_time_t)answer->wait_us * FB_MICROSECOND);
-  fr_report_ranked (entry->picker, tried, call->route->rank, judge_answer (answer),
+  fr_report_ranked (entry->picker, instance, call->route->rank, classify_answer (answer),
                     read_time (entry) - call->attempt_start, answer->load);
   fr_report_customer (entry->throttle, get_service_name (call), call->route->rank,
                       call->customer, accepted);
   call->may_have_run |= answer->outcome != FW_NOT_RUN;
   call->reached_backend |= answer->reached_backend;
-  if (may_try_again (call, answer))
+  if (acquire_retry (call, answer))
     {
       fb_add_counter (entry->retries, 1);
       fn_start_attempt (call);
@@ -121,8 +121,8 @@
   fn_finish_entry_call (call, answer);
 }
 
-/* Ends the open attempt with an outcome seen from here. A ticket may have been used before, so
- * that only its own node can say that it was not run. */
+/* Ends the open attempt with an outcome that this node decided. A ticket may have been used
+ * before: only the node that issued it can state that the call was not run. */
 static void
 fail_attempt (fn_entry_call_t *call, fw_outcome_t outcome, uint32_t status, const char *reason)
 {
@@ -142,14 +142,14 @@
 }
 
 static void
-answer_local (const fw_call_t *answer, void *user)
+receive_local_answer (const fw_call_t *answer, void *user)
 {
   end_attempt (user, answer);
 }
 
-/* Returns whether header NAME of a caller is replaced or kept back by this node. */
+/* Returns whether this node replaces or removes header NAME of a caller. */
 static bool
-is_own_header (const fn_dialect_t *dialect, fb_str_t name)
+is_replaced_header (const fn_dialect_t *dialect, fb_str_t name)
 {
   return fb_has_prefix (name, FB_LITERAL ("foxtailrun-"))
          || fb_equal_str (name, dialect->timeout_ms) || fb_equal_str (name, dialect->instance)
@@ -166,7 +166,7 @@
 
   for (size_t i = 0; i < count; i++)
     {
-      if (!fh_is_hop_header (headers[i].name) && !is_own_header (dialect, headers[i].name))
+      if (!fh_is_hop_header (headers[i].name) && !is_replaced_header (dialect, headers[i].name))
         message->headers[message->header_count++]
             = (fw_header_t){ headers[i].name, headers[i].value };
     }
@@ -176,13 +176,13 @@
 }
 
 static void
-fill_message (fn_entry_call_t *call, fw_call_t *message)
+build_message (fn_entry_call_t *call, fw_call_t *message)
 {
   const fc_route_t *route = call->route;
 
   *message = (fw_call_t){
     .kind = FW_CALL,
-    .id = call->attempt,
+    .id = call->attempt_id,
     .remaining_us = (uint64_t)((call->deadline - call->attempt_start) / FB_MICROSECOND),
     .service = get_service_name (call),
     .rank = fb_get_name (&fc_get_rank (call->snapshot, route->rank)->name),
@@ -209,26 +209,26 @@
 {
   fn_entry_t *entry = call->entry;
   fw_call_t message;
-  uint64_t attempt = ++entry->next_id;
+  uint64_t attempt_id = ++entry->next_id;
   uint64_t handle;
 
-  call->attempt = attempt;
+  call->attempt_id = attempt_id;
   call->attempt_start = read_time (entry);
   call->is_local = is_local (entry, node);
-  g_hash_table_insert (entry->attempts, &call->attempt, call);
-  fill_message (call, &message);
+  g_hash_table_insert (entry->attempts, &call->attempt_id, call);
+  build_message (call, &message);
   if (!call->is_local)
     {
       fn_send_call (fk_find_service (entry->kernel, FN_CALLS), node, &message);
       return;
     }
-  handle = fn_serve_call (find_backend (entry), &message, answer_local, call);
-  /* The call may have ended, and its memory be gone, unless the handle says that it waits. */
+  handle = fn_serve_call (find_backend (entry), &message, receive_local_answer, call);
+  /* With handle 0 the call was answered already and may have been freed. */
   if (handle != 0)
     call->local_handle = handle;
 }
 
-/* Sends the attempt to the node that issued the ticket: only that one may run it. */
+/* Sends the attempt to the node that issued the ticket, the only one that may run it. */
 static void
 start_ticket_attempt (fn_entry_call_t *call)
 {
@@ -244,10 +244,11 @@
   node = find_node (entry, &ticket.node);
   if (!node || node->state == FW_DEAD)
     {
-      fn_finish_with_outcome (call, FW_UNKNOWN, 504, "the node that issued the ticket is gone");
+      fn_finish_with_outcome (call, FW_UNKNOWN, 504,
+                              "the node that issued the ticket is no longer available");
       return;
     }
-  call->tried[call->attempt_count++] = ticket.node;
+  call->tried_instances[call->attempt_count++] = ticket.node;
   fr_begin_ranked (entry->picker, &ticket.node, call->route->rank);
   send_attempt (call, node);
 }
@@ -257,7 +258,7 @@
 {
   fn_entry_t *entry = call->entry;
   fb_str_t service = get_service_name (call);
-  fb_name_t picked;
+  fb_name_t instance;
   const fw_member_t *node;
 
   if (call->ticket.len > 0)
@@ -266,7 +267,7 @@
       return;
     }
   if (!fr_pick_target (entry->picker, service, call->route->rank, call->latency_target,
-                       call->tried, call->attempt_count, &picked))
+                       call->tried_instances, call->attempt_count, &instance))
     {
       fn_finish_with_outcome (call, FW_NOT_RUN, 503,
                               call->attempt_count > 0
@@ -274,12 +275,13 @@
                                   : "no instance of the service is available");
       return;
     }
-  call->tried[call->attempt_count++] = picked;
-  node = find_node (entry, &picked);
+  call->tried_instances[call->attempt_count++] = instance;
+  node = find_node (entry, &instance);
   if (!node)
     {
-      fr_report_ranked (entry->picker, &picked, call->route->rank, FR_RESULT_CANCELLED, 0, 0);
-      fn_finish_with_outcome (call, FW_NOT_RUN, 503, "the chosen instance has left");
+      fr_report_ranked (entry->picker, &instance, call->route->rank, FR_RESULT_CANCELLED, 0, 0);
+      fn_finish_with_outcome (call, FW_NOT_RUN, 503,
+                              "the picked instance is no longer available");
       return;
     }
   send_attempt (call, node);
@@ -289,20 +291,20 @@
 fn_abandon_attempt (fn_entry_call_t *call)
 {
   fn_entry_t *entry = call->entry;
-  uint64_t attempt = call->attempt;
+  uint64_t attempt_id = call->attempt_id;
   uint64_t handle = call->local_handle;
-  const fb_name_t *tried;
+  const fb_name_t *instance;
 
-  if (attempt == 0)
+  if (attempt_id == 0)
     return;
-  tried = close_attempt (call);
-  fr_report_ranked (entry->picker, tried, call->route->rank, FR_RESULT_CANCELLED, 0, 0);
+  instance = close_attempt (call);
+  fr_report_ranked (entry->picker, instance, call->route->rank, FR_RESULT_CANCELLED, 0, 0);
   if (call->is_local)
     {
       fn_cancel_call (find_backend (entry), handle);
       return;
     }
-  fn_cancel_sent_call (fk_find_service (entry->kernel, FN_CALLS), attempt);
+  fn_cancel_sent_call (fk_find_service (entry->kernel, FN_CALLS), attempt_id);
 }
 
 void
@@ -312,7 +314,7 @@
 
   if (!call)
     {
-      fb_add_counter (entry->unmatched, 1);
+      fb_add_counter (entry->unmatched_answers, 1);
       return;
     }
   end_attempt (call, answer);
--- a/packages/node/source/node-entry.c
+++ b/packages/node/source/node-entry.c
@@ -4,14 +4,14 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Longest request id that a caller may set, in bytes. */
+/* Limit of the length of a caller's request id in bytes. */
 #define REQUEST_ID_MAX 63
 
-/* Longest wait of a caller, in ms; bounds what it claims. */
-#define ASKED_MAX_MS 3600000
+/* Longer timeouts of callers are reduced to this. */
+#define CALLER_TIMEOUT_MAX_MS 3600000
 
-/* Time in s after which a caller that was refused may come back: about two calls of the usual
- * kinds, in which slots become free. */
+/* Time after which a refused caller should retry: about the duration of two typical calls, in
+ * which slots become free. */
 #define RETRY_AFTER_S "0.1"
 
 static const fb_str_t default_customer = { "default", 7 };
@@ -75,8 +75,8 @@
       FB_NUMBER ("version",
                  fn_get_version (fk_find_service (entry->kernel, FN_DISTRIBUTION))->number));
 
-  /* A ticket may have been used through another node, so that only its own node can say "not
-   * run". */
+  /* The ticket may have been used through another node: only the node that issued it can state
+   * that the call was not run. */
   if (find_request_header (request, FB_LITERAL ("foxtailrun-ticket")).len > 0)
     {
       answer.outcome = FW_UNKNOWN;
@@ -85,17 +85,17 @@
   respond (entry, request, &answer, request_id);
 }
 
-/* One in so many calls that were answered in time is logged. */
-#define SAMPLE_RATE 64
+/* One of this number of calls that were answered in time is logged. */
+#define LOG_SAMPLE_INTERVAL 64
 
-/* Returns whether the line of a call is written: always when it was not answered in time,
- * otherwise by its id, so that all nodes it crosses keep or drop it together. */
+/* Returns whether a call is logged: always when it was not answered in time, otherwise sampled
+ * by the hash of its request id, so that all nodes on its path make the same choice. */
 static bool
 is_logged (const fn_entry_call_t *call, const fw_call_t *answer)
 {
   return answer->outcome != FW_ANSWERED || answer->status >= 500
          || fb_read_clock (fk_get_clock (call->entry->kernel)) > call->target_time
-         || fb_hash_str (fb_wrap_text (call->request_id), 0) % SAMPLE_RATE == 0;
+         || fb_hash_str (fb_wrap_text (call->request_id), 0) % LOG_SAMPLE_INTERVAL == 0;
 }
 
 static void
@@ -104,7 +104,7 @@
   fn_entry_t *entry = call->entry;
   fb_time_t now = fb_read_clock (fk_get_clock (entry->kernel));
   const char *instance
-      = call->attempt_count > 0 ? call->tried[call->attempt_count - 1].data : "";
+      = call->attempt_count > 0 ? call->tried_instances[call->attempt_count - 1].data : "";
 
   if (!is_logged (call, answer))
     return;
@@ -129,23 +129,23 @@
 fn_finish_entry_call (fn_entry_call_t *call, const fw_call_t *answer)
 {
   fn_entry_t *entry = call->entry;
-  fw_call_t told = *answer;
+  fw_call_t final_answer = *answer;
 
-  /* A refused retry says nothing about the attempts before it. */
-  if (told.outcome == FW_NOT_RUN && call->may_have_run)
+  /* That the last attempt was not run does not mean that earlier ones were not. */
+  if (final_answer.outcome == FW_NOT_RUN && call->may_have_run)
     {
-      told.outcome = FW_UNKNOWN;
-      told.status = 504;
+      final_answer.outcome = FW_UNKNOWN;
+      final_answer.status = 504;
     }
-  log_call (call, &told);
-  fb_observe_time (entry->durations[told.outcome],
+  log_call (call, &final_answer);
+  fb_observe_time (entry->durations[final_answer.outcome],
                    fb_read_clock (fk_get_clock (entry->kernel)) - call->start);
-  fn_count_burn (fk_find_service (entry->kernel, FN_BURN), call->snapshot, call->route, &told,
-                 call->start);
-  respond (entry, call->request, &told, call->request_id);
+  fn_count_burn (fk_find_service (entry->kernel, FN_BURN), call->snapshot, call->route,
+                 &final_answer, call->start);
+  respond (entry, call->request, &final_answer, call->request_id);
   fk_destroy_timer (call->timer);
   fc_release_snapshot (call->snapshot);
-  entry->calls--;
+  entry->open_calls--;
   g_free (call);
 }
 
@@ -158,15 +158,15 @@
   fn_finish_entry_call (call, &answer);
 }
 
-/* The caller's deadline has passed: an open attempt may still run. */
+/* Ends a call whose deadline has passed; its open attempt may still run. */
 static void
 expire_call (void *user)
 {
   fn_entry_call_t *call = user;
-  bool open = call->attempt != 0;
+  bool is_open = call->attempt_id != 0;
 
   fn_abandon_attempt (call);
-  fn_finish_with_outcome (call, open ? FW_UNKNOWN : FW_NOT_RUN, open ? 504 : 503,
+  fn_finish_with_outcome (call, is_open ? FW_UNKNOWN : FW_NOT_RUN, is_open ? 504 : 503,
                           "deadline passed");
 }
 
@@ -176,81 +176,85 @@
   fn_entry_call_t *call = user;
 
   fn_abandon_attempt (call);
-  fn_finish_with_outcome (call, FW_UNKNOWN, 499, "caller went away");
+  fn_finish_with_outcome (call, FW_UNKNOWN, 499, "caller closed the connection");
 }
 
-/* Writes the caller's request id, or a new one, into TEXT. */
+/* Writes the caller's request id, or a new one, into REQUEST_ID. */
 static void
-set_request_id (fn_entry_t *entry, fh_request_t *request, char text[REQUEST_ID_MAX + 1])
+set_request_id (fn_entry_t *entry, fh_request_t *request, char request_id[REQUEST_ID_MAX + 1])
 {
   const fn_dialect_t *dialect = fn_get_adapter (entry->kernel)->dialect;
-  fb_str_t given = find_request_header (request, dialect->request_id);
+  fb_str_t header = find_request_header (request, dialect->request_id);
 
-  if (given.len > 0 && given.len <= REQUEST_ID_MAX)
+  if (header.len > 0 && header.len <= REQUEST_ID_MAX)
     {
-      memcpy (text, given.data, given.len);
-      text[given.len] = '\0';
+      memcpy (request_id, header.data, header.len);
+      request_id[header.len] = '\0';
       return;
     }
-  snprintf (text, REQUEST_ID_MAX + 1, "%016" PRIx64, ++entry->next_id);
+  snprintf (request_id, REQUEST_ID_MAX + 1, "%016" PRIx64, ++entry->next_id);
 }
 
-/* Returns the time in ns that the caller says it will wait; as the route allows when it says
- * nothing. */
+/* Returns the timeout in ns that the caller sent, or that of the route without one. */
 static fb_time_t
-read_wait (fn_entry_t *entry, fh_request_t *request, const fc_route_t *route)
+read_caller_timeout (fn_entry_t *entry, fh_request_t *request, const fc_route_t *route)
 {
-  uint64_t asked;
+  uint64_t caller_timeout;
 
   if (fb_parse_u64 (
           find_request_header (request, fn_get_adapter (entry->kernel)->dialect->timeout_ms),
-          &asked))
-    return (fb_time_t)MIN (asked, ASKED_MAX_MS) * FB_MILLISECOND;
+          &caller_timeout))
+    return (fb_time_t)MIN (caller_timeout, CALLER_TIMEOUT_MAX_MS) * FB_MILLISECOND;
   return route->timeout_ms * FB_MILLISECOND;
 }
 
-/* Period over which the longest wait of a route's callers is kept. */
-#define WAIT_PERIOD (10 * FB_SECOND)
+/* Window over which the longest timeout of a route's callers is recorded. */
+#define TIMEOUT_WINDOW (10 * FB_SECOND)
 
-/* Callers of a route differ by up to this part in how long they wait at first. */
-#define PATIENCE_SPREAD 0.15
+/* The timeouts of first attempts by callers of a route differ by up to this fraction. */
+#define FIRST_TIMEOUT_SPREAD 0.15
 
-/* A caller with that much less time than the least patient of the route has spent it on an
- * earlier try. */
-#define AGAIN_MIN (20 * FB_MILLISECOND)
+/* A timeout shorter by this than any first timeout of the route belongs to a retry: the caller
+ * spent the difference on earlier attempts. */
+#define SPENT_TIME_MIN (20 * FB_MILLISECOND)
 
-/* Returns the time that a caller of ROUTE with ASKED left has spent on earlier tries at least.
- */
+/* Returns the least time in ns that a caller of ROUTE with CALLER_TIMEOUT has spent on earlier
+ * attempts; 0 for a first attempt. */
 static fb_time_t
-guess_spent (fn_entry_t *entry, const fc_route_t *route, fb_time_t asked)
+estimate_spent_time (fn_entry_t *entry, const fc_route_t *route, fb_time_t caller_timeout)
 {
-  fn_route_timeout_t *wait = g_hash_table_lookup (entry->waits, route->name.data);
+  fn_route_timeout_t *route_timeout
+      = g_hash_table_lookup (entry->route_timeouts, route->name.data);
   fb_time_t now = fb_read_clock (fk_get_clock (entry->kernel));
-  fb_time_t least; /* that a caller has at its first try */
+  fb_time_t first_timeout_min;
 
-  if (!wait)
+  if (!route_timeout)
     {
-      wait = g_new0 (fn_route_timeout_t, 1);
-      g_hash_table_insert (entry->waits, g_strdup (route->name.data), wait);
+      route_timeout = g_new0 (fn_route_timeout_t, 1);
+      g_hash_table_insert (entry->route_timeouts, g_strdup (route->name.data), route_timeout);
     }
-  if (now >= wait->period_end)
+  if (now >= route_timeout->window_end)
     {
-      wait->previous_max = now < wait->period_end + WAIT_PERIOD ? wait->current_max : 0;
-      wait->current_max = 0;
-      wait->period_end = now + WAIT_PERIOD;
+      route_timeout->previous_max
+          = now < route_timeout->window_end + TIMEOUT_WINDOW ? route_timeout->current_max : 0;
+      route_timeout->current_max = 0;
+      route_timeout->window_end = now + TIMEOUT_WINDOW;
     }
-  wait->current_max = MAX (wait->current_max, asked);
-  least = (fb_time_t)((double)MAX (wait->current_max, wait->previous_max)
-                      * (1 - PATIENCE_SPREAD));
-  return least - asked >= AGAIN_MIN ? least - asked : 0;
+  route_timeout->current_max = MAX (route_timeout->current_max, caller_timeout);
+  first_timeout_min
+      = (fb_time_t)((double)MAX (route_timeout->current_max, route_timeout->previous_max)
+                    * (1 - FIRST_TIMEOUT_SPREAD));
+  return first_timeout_min - caller_timeout >= SPENT_TIME_MIN
+             ? first_timeout_min - caller_timeout
+             : 0;
 }
 
-/* Sets the time until which the call is in time, counted from the caller's first try. */
+/* Sets the time until which an answer is in time, counted from the caller's first attempt. */
 static void
-set_aim (fn_entry_call_t *call, fb_time_t asked)
+set_target_time (fn_entry_call_t *call, fb_time_t caller_timeout)
 {
   uint32_t target = call->route->target_ms;
-  fb_time_t spent = guess_spent (call->entry, call->route, asked);
+  fb_time_t spent = estimate_spent_time (call->entry, call->route, caller_timeout);
 
   if (target == 0)
     target = fc_get_rank (call->snapshot, call->route->rank)->target_ms;
@@ -259,48 +263,48 @@
   call->target_time = call->start + MAX (call->latency_target - spent, 0);
 }
 
-/* Returns whether a path segment is read the same by everyone: not empty, no dot segment, no
- * escaped dot or slash, no parameters. */
+/* Returns whether SEGMENT of a path is not empty, is no dot segment, and has no escaped dot or
+ * slash, no backslash and no parameters. */
 static bool
-is_plain_segment (fb_str_t segment)
+is_normalized_segment (fb_str_t segment)
 {
   char *text = g_ascii_strdown (segment.data, (gssize)segment.len);
-  bool plain = segment.len > 0 && strcmp (text, ".") != 0 && strcmp (text, "..") != 0
-               && !strstr (text, "%2e") && !strstr (text, "%2f") && !strstr (text, "%5c")
-               && !strpbrk (text, "\\;");
+  bool normalized = segment.len > 0 && strcmp (text, ".") != 0 && strcmp (text, "..") != 0
+                    && !strstr (text, "%2e") && !strstr (text, "%2f") && !strstr (text, "%5c")
+                    && !strpbrk (text, "\\;");
 
   g_free (text);
-  return plain;
+  return normalized;
 }
 
-/* Returns whether PATH up to its query reads the same for routing and for a backend server that
- * resolves dot segments, empty segments and escapes. Another reading could reach a route that
- * runs at most once by the name of one that is repeatable. */
+/* Returns whether PATH up to its query stays the same when a backend server resolves dot
+ * segments, empty segments and escapes. Otherwise a request could match a repeatable route and
+ * reach a path of a route that runs at most once. */
 static bool
-is_plain_path (fb_str_t path)
+is_normalized_path (fb_str_t path)
 {
   const char *query = memchr (path.data, '?', path.len);
   const char *end = query ? query : path.data + path.len;
-  const char *at = path.data;
+  const char *pos = path.data;
 
-  if (at == end || *at != '/')
+  if (pos == end || *pos != '/')
     return false;
-  for (at++; at < end;)
+  for (pos++; pos < end;)
     {
-      const char *slash = memchr (at, '/', (size_t)(end - at));
-      const char *stop = slash ? slash : end;
+      const char *slash = memchr (pos, '/', (size_t)(end - pos));
+      const char *segment_end = slash ? slash : end;
 
-      if (!is_plain_segment ((fb_str_t){ at, (size_t)(stop - at) }))
+      if (!is_normalized_segment ((fb_str_t){ pos, (size_t)(segment_end - pos) }))
         return false;
-      at = stop + 1;
+      pos = segment_end + 1;
     }
   return true;
 }
 
-/* Returns why a request is malformed, or NULL. Control bytes could otherwise split the header
- * lines that are written to the backend server. */
+/* Returns why REQUEST is malformed, or NULL. Control bytes could split the header lines that
+ * are written to the backend server. */
 static const char *
-find_fault (fn_entry_t *entry, fh_request_t *request)
+find_request_error (fn_entry_t *entry, fh_request_t *request)
 {
   const fn_dialect_t *dialect = fn_get_adapter (entry->kernel)->dialect;
   const fh_header_t *headers;
@@ -310,19 +314,19 @@
   for (size_t i = 0; i < path.len; i++)
     {
       if ((unsigned char)path.data[i] <= ' ')
-        return "path holds a control byte or a space";
+        return "path contains a control byte or a space";
     }
-  if (dialect->resolves_paths && !is_plain_path (path))
-    return "path holds an empty, dot or escaped segment";
+  if (dialect->resolves_paths && !is_normalized_path (path))
+    return "path contains an empty, dot or escaped segment";
   for (size_t i = 0; i < count; i++)
     {
       if (memchr (headers[i].value.data, '\n', headers[i].value.len)
           || memchr (headers[i].value.data, '\r', headers[i].value.len)
           || memchr (headers[i].name.data, '\n', headers[i].name.len))
-        return "header holds a line break";
+        return "header contains a line break";
     }
   if (find_request_header (request, dialect->customer).len > FB_NAME_MAX)
-    return "customer name is too long";
+    return "customer name is longer than " G_STRINGIFY (FB_NAME_MAX) " bytes";
   return NULL;
 }
 
@@ -337,25 +341,25 @@
 
 static fn_entry_call_t *
 create_call (fn_entry_t *entry, fh_request_t *request, fc_snapshot_t *snapshot,
-             const fc_route_t *route, uint32_t service, const char *request_id)
+             const fc_route_t *route, uint32_t service_index, const char *request_id)
 {
   fn_entry_call_t *call = g_new0 (fn_entry_call_t, 1);
-  fb_time_t asked = read_wait (entry, request, route);
-  fb_time_t timeout = MIN (asked, route->timeout_ms * FB_MILLISECOND);
+  fb_time_t caller_timeout = read_caller_timeout (entry, request, route);
+  fb_time_t timeout = MIN (caller_timeout, route->timeout_ms * FB_MILLISECOND);
 
   call->entry = entry;
   call->request = request;
   call->snapshot = fc_retain_snapshot (snapshot);
   call->route = route;
-  call->service = service;
+  call->service_index = service_index;
   call->customer = read_customer (entry, request);
   call->ticket = find_request_header (request, FB_LITERAL ("foxtailrun-ticket"));
   g_strlcpy (call->request_id, request_id, sizeof call->request_id);
   call->start = fb_read_clock (fk_get_clock (entry->kernel));
   call->deadline = call->start + timeout;
-  set_aim (call, asked);
+  set_target_time (call, caller_timeout);
   call->timer = fk_create_timeout (entry->kernel, timeout, expire_call, call);
-  entry->calls++;
+  entry->open_calls++;
   return call;
 }
 
@@ -364,23 +368,23 @@
 {
   fn_entry_t *entry = user;
   fn_distribution_t *distribution = fk_find_service (entry->kernel, FN_DISTRIBUTION);
-  /* Noticing a pause may change the state of the distribution, so that it comes before the
-   * snapshot. */
+  /* Called before the snapshot is read: it detects a pause of the process, which may change
+   * the state of the distribution. */
   bool ready = fn_is_ready (distribution);
   const fn_dialect_t *dialect = fn_get_adapter (entry->kernel)->dialect;
   fc_snapshot_t *snapshot = fn_get_snapshot (distribution);
-  const char *fault = find_fault (entry, request);
+  const char *error = find_request_error (entry, request);
   const fc_route_t *route = NULL;
-  uint32_t part;
+  uint32_t service_index;
   fb_str_t service;
   fb_str_t customer;
   char request_id[REQUEST_ID_MAX + 1];
   fn_entry_call_t *call;
 
   set_request_id (entry, request, request_id);
-  if (fault)
+  if (error)
     {
-      refuse_request (entry, request, 400, fault, request_id);
+      refuse_request (entry, request, 400, error, request_id);
       return;
     }
   if (snapshot)
@@ -399,12 +403,13 @@
       refuse_request (entry, request, 404, "no route for this path and method", request_id);
       return;
     }
-  part = fr_split_call (entry->splitter, route);
-  service = fb_get_name (&fc_get_service (snapshot, part)->name);
+  service_index = fr_split_call (entry->splitter, route);
+  service = fb_get_name (&fc_get_service (snapshot, service_index)->name);
   customer = read_customer (entry, request);
-  /* The throttle keeps one customer's flood from the others; without customers the nodes beside
-   * the backend servers refuse more exactly. A refusal here would leave the outcome of a ticket
-   * unknown; its own node can say more. */
+  /* The throttle protects other customers from one that overloads the service. Without
+   * customers it is not used, since the nodes beside the backend servers refuse more precisely;
+   * nor with a ticket: a refusal here would leave the outcome unknown, which the node that
+   * issued the ticket can tell. */
   if (dialect->customer.len > 0
       && find_request_header (request, FB_LITERAL ("foxtailrun-ticket")).len == 0
       && !fr_admit_customer (entry->throttle, service, route->rank, customer))
@@ -416,7 +421,7 @@
     }
   fh_set_idle_timeout (entry->server,
                        (fb_time_t)fc_get_idle_timeout_ms (snapshot) * FB_MILLISECOND);
-  call = create_call (entry, request, snapshot, route, part, request_id);
+  call = create_call (entry, request, snapshot, route, service_index, request_id);
   fh_set_cancelled_handler (request, cancel_call, call);
   call->parent_is_repeat = fn_is_parent_repeat (fk_find_service (entry->kernel, FN_BACKEND),
                                                 fb_wrap_text (request_id));
@@ -427,9 +432,9 @@
   fn_start_attempt (call);
 }
 
-/* Part of the allowance of retries that nodes share which they use, since some nodes see more
- * endpoints than others. */
-#define SLACK_PART 0.5
+/* Fraction of the shared retry floor that the nodes divide among themselves. It is below 1
+ * because each divides by the number of endpoints that it sees, which differs between nodes. */
+#define SHARED_RETRY_FRACTION 0.5
 
 static void
 update_instance (const fw_member_t *member, void *user)
@@ -441,7 +446,8 @@
   fr_update_instance (entry->picker, member);
   if (settings->shared_retry_floor > 0)
     fr_set_retry_allowance (entry->budget, settings->retry_ratio,
-                            settings->shared_retry_floor * SLACK_PART / (double)MAX (nodes, 1));
+                            settings->shared_retry_floor * SHARED_RETRY_FRACTION
+                                / (double)MAX (nodes, 1));
 }
 
 static fb_status_t
@@ -451,8 +457,8 @@
   const fc_settings_t *settings = fn_get_settings (kernel);
   fw_member_t self = *fm_get_self (fn_get_members (fk_find_service (kernel, FN_MEMBERSHIP)));
 
-  /* The picker learns the region from this node's own description, which is no endpoint itself
-   * where the platform lists them. */
+  /* The picker reads the region from this node's own description. Where the platform lists the
+   * endpoints, this node is not one of them. */
   if (fn_get_adapter (kernel)->source_lists_endpoints)
     {
       self.service = (fb_name_t){ 0 };
@@ -481,7 +487,7 @@
   fr_destroy_retry_budget (entry->budget);
   fr_destroy_throttle (entry->throttle);
   fr_destroy_splitter (entry->splitter);
-  g_hash_table_destroy (entry->waits);
+  g_hash_table_destroy (entry->route_timeouts);
   g_hash_table_destroy (entry->attempts);
   for (size_t i = 0; i < G_N_ELEMENTS (entry->durations); i++)
     fb_destroy_histogram (entry->durations[i]);
@@ -503,7 +509,7 @@
     }
   entry->retries = fb_find_counter (counters, "entry_retries", "");
   entry->throttled = fb_find_counter (counters, "entry_throttled", "");
-  entry->unmatched = fb_find_counter (counters, "entry_unmatched_answers", "");
+  entry->unmatched_answers = fb_find_counter (counters, "entry_unmatched_answers", "");
 }
 
 void
@@ -520,7 +526,7 @@
   entry->budget = fr_create_retry_budget (fk_get_clock (kernel));
   entry->splitter = fr_create_splitter (randombytes_random ());
   entry->throttle = fr_create_throttle (randombytes_random (), fk_get_clock (kernel));
-  entry->waits = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  entry->route_timeouts = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   entry->attempts = g_hash_table_new (g_int64_hash, g_int64_equal);
   entry->next_id = (uint64_t)randombytes_random () << 24;
   find_entry_counters (entry, fk_get_counters (kernel));
@@ -552,7 +558,7 @@
 size_t
 fn_count_entry_calls (fn_entry_t *entry)
 {
-  return entry->calls;
+  return entry->open_calls;
 }
 
 size_t
--- a/packages/node/source/node-entry.h
+++ b/packages/node/source/node-entry.h
@@ -1,4 +1,4 @@
-/* State of callers' calls at the entry node, shared by the files of the entry service. */
+/* State of callers' calls at the entry node. */
 #ifndef FOXTAILRUN_NODE_ENTRY_H
 #define FOXTAILRUN_NODE_ENTRY_H
 
@@ -10,22 +10,22 @@
 #include <foxtailrun/http/server.h>
 #include <glib.h>
 
-/* Most attempts of one call, the first included. */
+/* Limit of the attempts of one call, the first included. */
 #define FN_ATTEMPTS_MAX 6
 
-/* Attempts beyond the route's retries that refusals by single nodes, such as a draining one,
- * may cause. */
+/* Limit of the retries, beyond those of the route, after refusals by single nodes, such as a
+ * draining one. */
 #define FN_RETRY_ELSEWHERE_MAX 3
 
-/* Attempts beyond the route's retries that full queues may cause. */
+/* Limit of the retries, beyond those of the route, after refusals because of a full queue. */
 #define FN_QUEUE_FULL_RETRIES_MAX 1
 
-/* How long callers of a route are ready to wait. */
+/* Longest timeout that callers of a route sent. */
 typedef struct
 {
-  fb_time_t current_max;  /* in the present period */
-  fb_time_t previous_max; /* in the period before */
-  fb_time_t period_end;   /* end of the present period */
+  fb_time_t current_max;  /* in the current window */
+  fb_time_t previous_max; /* in the previous window */
+  fb_time_t window_end;   /* end of the current window */
 } fn_route_timeout_t;
 
 struct fn_entry
@@ -36,16 +36,17 @@
   fr_retry_budget_t *budget;
   fr_throttle_t *throttle;
   fr_splitter_t *splitter;
-  GHashTable *waits;    /* fn_route_timeout_t by name of the route */
-  GHashTable *attempts; /* fn_entry_call_t by id of the open attempt */
-  size_t calls;
-  bool closed;      /* takes no more calls */
-  uint64_t next_id; /* random start, so that ids of an earlier process do not match */
+  GHashTable *route_timeouts; /* fn_route_timeout_t by route name */
+  GHashTable *attempts;       /* fn_entry_call_t by attempt id */
+  size_t open_calls;
+  bool closed;      /* new calls are refused */
+  uint64_t next_id; /* starts at a random number, so that answers to an earlier process do not
+                       match */
   fb_counter_t *outcomes[5];
-  fb_histogram_t *durations[5]; /* by outcome, from arrival to the answer */
+  fb_histogram_t *durations[5]; /* by outcome, from arrival to answer */
   fb_counter_t *retries;
   fb_counter_t *throttled;
-  fb_counter_t *unmatched;
+  fb_counter_t *unmatched_answers;
 };
 
 /* One call of a caller. */
@@ -53,41 +54,41 @@
 {
   fn_entry_t *entry;
   fh_request_t *request;
-  fc_snapshot_t *snapshot; /* held until the call ends */
+  fc_snapshot_t *snapshot; /* holds a reference */
   const fc_route_t *route;
   fb_str_t customer;
   fb_str_t ticket;
   char request_id[64];
   fb_time_t start;
   fb_time_t deadline;
-  fb_time_t latency_target; /* latency target of the route */
-  fb_time_t target_time;    /* until which the answer is in time */
-  bool is_caller_retry;     /* the caller was refused before and has come back */
+  fb_time_t latency_target; /* of the route, or of its rank */
+  fb_time_t target_time;    /* until which an answer is in time */
+  bool is_caller_retry;     /* the caller's request was refused before and is sent again */
   fk_timer_t *timer;
-  uint32_t service; /* index; the part of the route that was drawn */
+  uint32_t service_index; /* chosen by the splitter */
   uint32_t attempt_count;
-  uint32_t queue_full_count;      /* of those, ended by full queues */
-  uint32_t retry_elsewhere_count; /* of those, ended by refusals of single nodes */
-  bool may_have_run;              /* an attempt reached a node and was not refused */
-  bool reached_backend;           /* an attempt reached a backend server, or may have */
-  bool parent_is_repeat;          /* made by a run that is a repeat itself */
-  fb_name_t tried[FN_ATTEMPTS_MAX];
-  uint64_t attempt; /* id of the open attempt, 0 when none */
+  uint32_t queue_full_count;      /* of those, refused because of a full queue */
+  uint32_t retry_elsewhere_count; /* of those, refused by a single node */
+  bool may_have_run;              /* an attempt ended with another outcome than FW_NOT_RUN */
+  bool reached_backend;           /* an attempt reached a backend server or possibly did */
+  bool parent_is_repeat;          /* sent by a backend server that runs a repeated call */
+  fb_name_t tried_instances[FN_ATTEMPTS_MAX];
+  uint64_t attempt_id; /* open attempt, 0 when none */
   fb_time_t attempt_start;
-  uint64_t local_handle; /* of an open attempt at this node's own backend server */
+  uint64_t local_handle; /* of the open attempt at the backend server beside this node */
   bool is_local;
 } fn_entry_call_t;
 
-/* Starts the next attempt of CALL, or ends it when none is possible. */
+/* Starts the next attempt of CALL; answers and frees CALL when no attempt is possible. */
 void fn_start_attempt (fn_entry_call_t *call);
 
-/* Gives up the open attempt of CALL, if any: nobody waits for its answer. */
+/* Cancels the open attempt of CALL, if any; its answer will be ignored. */
 void fn_abandon_attempt (fn_entry_call_t *call);
 
 /* Answers the caller from ANSWER and frees CALL. */
 void fn_finish_entry_call (fn_entry_call_t *call, const fw_call_t *answer);
 
-/* Answers the caller with an outcome made here and frees CALL. */
+/* Answers the caller with an outcome that this node decided and frees CALL. */
 void fn_finish_with_outcome (fn_entry_call_t *call, fw_outcome_t outcome, uint32_t status,
                              const char *reason);
 
