--- a/packages/node/source/node-calls.c
+++ b/packages/node/source/node-calls.c
@@ -1,5 +1,5 @@
-/* Calls between the entry nodes and the nodes beside backend servers: one HTTP exchange each,
- * so that the end of its connection cancels a call. */
+/* Calls between the entry nodes and the nodes beside backend servers. Each is one HTTP
+ * exchange, so that closing its connection cancels the call. */
 #include "node-services.h"
 #include <foxtailrun/http/client.h>
 #include <foxtailrun/http/server.h>
@@ -8,46 +8,46 @@
 
 #define CALL_PATH "/call"
 
-/* Room for the encoded header beside the body. */
-#define HEADER_MAX (256 * 1024)
+/* Limit of an encoded call or answer without its body. */
+#define HEADER_MAX_BYTES (256 * 1024)
 
-/* Connections to one node kept for the next call. */
-#define IDLE_MAX 64
+/* Limit of the idle connections to one node. */
+#define IDLE_CONNECTIONS_MAX 64
 
-/* Time in which a node must take a connection. A refused call goes to another instance, which
- * is worth more than a retransmitted opening packet after 1 s. */
+/* Time in which a node must accept a connection. It is shorter than the 1 s after which TCP
+ * retransmits a SYN, since trying another instance is faster. */
 #define CONNECT_TIMEOUT (250 * FB_MILLISECOND)
 
-/* Bounds a call without a deadline of its own; the entry gives up earlier. */
+/* Limit for an exchange; the entry cancels a call earlier, at its deadline. */
 #define IO_TIMEOUT (600 * FB_SECOND)
 
-/* Path at which a node shows that it is alive. */
+/* Path of liveness probes. */
 #define ALIVE_PATH "/alive"
 
-/* A node from which nothing was heard for so long while a call is open at it is asked whether
- * it is alive: longer than most calls take. */
-#define PROBE_AFTER (300 * FB_MILLISECOND)
+/* A node with an open call is probed when nothing was received from it for this time, which is
+ * longer than most calls take. */
+#define PROBE_DELAY (300 * FB_MILLISECOND)
 
-/* Time in which it must answer, on a new connection; a node of a tenth of a core may be busy
- * with a configuration for half as long. */
+/* Time in which a probe must be answered, on a new connection. A node limited to a tenth of a
+ * core may be busy with a configuration for half of this time. */
 #define PROBE_TIMEOUT (500 * FB_MILLISECOND)
 
-/* Time between two such questions to one node. */
-#define PROBE_PERIOD (600 * FB_MILLISECOND)
+/* Least time between two probes of one node. */
+#define PROBE_INTERVAL (600 * FB_MILLISECOND)
 
-/* Period in which open calls are looked at. */
-#define PROBE_TICK (100 * FB_MILLISECOND)
+/* Interval of the checks for nodes to be probed. */
+#define PEER_CHECK_INTERVAL (100 * FB_MILLISECOND)
 
-/* Time for which a silent node gets no calls after each question that it did not answer. */
-#define SILENT_TIME (1500 * FB_MILLISECOND)
+/* Time for which a node gets no new calls after each unanswered probe. */
+#define UNRESPONSIVE_AVOID_TIME (1500 * FB_MILLISECOND)
 
 struct fn_calls
 {
   fk_kernel_t *kernel;
   fh_server_t *server;
-  GHashTable *peers; /* peer_t by "address:port" */
-  GHashTable *sent;  /* sent_t by id of the attempt */
-  fk_timer_t *tick;
+  GHashTable *peers;    /* peer_t by "address:port" */
+  GHashTable *outgoing; /* outgoing_call_t by attempt id */
+  fk_timer_t *check_timer;
   fb_counter_t *malformed;
   fb_counter_t *probes;
 };
@@ -57,32 +57,32 @@
 {
   fn_calls_t *calls;
   fh_client_t *client;
-  fh_client_t *prober;
-  fb_name_t instance; /* beside it, as of the last call */
-  fb_time_t heard;    /* when something last came from it */
-  fb_time_t probed;   /* when it was last asked */
-  bool probing;
-  bool silent;
+  fh_client_t *probe_client;
+  fb_name_t instance;         /* beside the node, as of the last call */
+  fb_time_t last_received_at; /* last response to a call or probe */
+  fb_time_t last_probed_at;
+  bool probe_in_flight;
+  bool unresponsive; /* the last probe was not answered */
 } peer_t;
 
-/* A call that another node serves. */
+/* A call sent to another node. */
 typedef struct
 {
   fn_calls_t *calls;
   uint64_t id;
   peer_t *peer;
-  fb_time_t started;
-  bool single; /* may run at most once */
+  fb_time_t started_at;
+  bool at_most_once;
   fh_exchange_t *exchange;
-} sent_t;
+} outgoing_call_t;
 
-/* A call of another node that is served here. */
+/* A call received from another node. */
 typedef struct
 {
   fn_calls_t *calls;
   fh_request_t *request;
   uint64_t handle;
-} remote_t;
+} incoming_call_t;
 
 static bool
 decode_call (fn_calls_t *calls, fb_bytes_t bytes, fw_call_t *call)
@@ -96,28 +96,28 @@
 }
 
 static void
-answer_remote (const fw_call_t *answer, void *user)
+send_answer (const fw_call_t *answer, void *user)
 {
-  remote_t *remote = user;
+  incoming_call_t *incoming = user;
   fw_call_t message = *answer;
   GByteArray *bytes;
 
   message.kind = FW_ANSWER;
   bytes = fw_pack_call (&message);
-  fh_respond (remote->request, 200, NULL, 0, (fb_bytes_t){ bytes->data, bytes->len });
+  fh_respond (incoming->request, 200, NULL, 0, (fb_bytes_t){ bytes->data, bytes->len });
   g_byte_array_unref (bytes);
-  g_free (remote);
+  g_free (incoming);
 }
 
-/* The entry node gave the call up or is gone. */
+/* Cancels a call whose entry node closed the connection. */
 static void
-cancel_remote (fh_request_t *request, void *user)
+cancel_incoming_call (fh_request_t *request, void *user)
 {
-  remote_t *remote = user;
+  incoming_call_t *incoming = user;
 
-  fn_cancel_call (fk_find_service (remote->calls->kernel, FN_BACKEND), remote->handle);
+  fn_cancel_call (fk_find_service (incoming->calls->kernel, FN_BACKEND), incoming->handle);
   fh_respond (request, 499, NULL, 0, (fb_bytes_t){ NULL, 0 });
-  g_free (remote);
+  g_free (incoming);
 }
 
 static void
@@ -125,7 +125,7 @@
 {
   fn_calls_t *calls = user;
   fw_call_t call;
-  remote_t *remote;
+  incoming_call_t *incoming;
   uint64_t handle;
 
   if (fb_equal_str (fh_get_path (request), FB_LITERAL (FN_FEED_PATH)))
@@ -144,16 +144,16 @@
       fh_respond (request, 400, NULL, 0, (fb_bytes_t){ NULL, 0 });
       return;
     }
-  remote = g_new0 (remote_t, 1);
-  remote->calls = calls;
-  remote->request = request;
-  handle = fn_serve_call (fk_find_service (calls->kernel, FN_BACKEND), &call, answer_remote,
-                          remote);
-  /* The answer has freed REMOTE unless the handle says that the call waits. */
+  incoming = g_new0 (incoming_call_t, 1);
+  incoming->calls = calls;
+  incoming->request = request;
+  handle = fn_serve_call (fk_find_service (calls->kernel, FN_BACKEND), &call, send_answer,
+                          incoming);
+  /* With handle 0 the call was answered already and INCOMING freed. */
   if (handle == 0)
     return;
-  remote->handle = handle;
-  fh_set_cancelled_handler (request, cancel_remote, remote);
+  incoming->handle = handle;
+  fh_set_cancelled_handler (request, cancel_incoming_call, incoming);
 }
 
 static fb_time_t
@@ -165,15 +165,15 @@
 static void
 receive_answer (const fh_response_t *response, void *user)
 {
-  sent_t *sent = user;
-  fn_calls_t *calls = sent->calls;
+  outgoing_call_t *outgoing = user;
+  fn_calls_t *calls = outgoing->calls;
   fn_entry_t *entry = fk_find_service (calls->kernel, FN_ENTRY);
-  uint64_t id = sent->id;
+  uint64_t id = outgoing->id;
   fw_call_t answer;
 
   if (response->result == FH_ANSWERED)
-    sent->peer->heard = read_time (calls);
-  g_hash_table_remove (calls->sent, &id);
+    outgoing->peer->last_received_at = read_time (calls);
+  g_hash_table_remove (calls->outgoing, &id);
   if (response->result == FH_NOT_SENT)
     fn_fail_unsent (entry, id);
   else if (response->result == FH_ANSWERED && response->status == 200
@@ -183,7 +183,8 @@
       fn_end_attempt (entry, &answer);
     }
   else
-    fn_fail_unanswered (entry, id, response->error ? response->error : "no call message");
+    fn_fail_unanswered (
+        entry, id, response->error ? response->error : "response is not a valid call message");
 }
 
 static char *
@@ -204,22 +205,23 @@
     {
       peer = g_new0 (peer_t, 1);
       peer->calls = calls;
-      peer->client = fh_create_client (calls->kernel, &node->address, node->call_port, IDLE_MAX,
-                                       FW_ANSWER_BODY_MAX + HEADER_MAX, IO_TIMEOUT);
+      peer->client = fh_create_client (calls->kernel, &node->address, node->call_port,
+                                       IDLE_CONNECTIONS_MAX,
+                                       FW_ANSWER_BODY_MAX + HEADER_MAX_BYTES, IO_TIMEOUT);
       fh_set_connect_timeout (peer->client, CONNECT_TIMEOUT);
-      peer->prober = fh_create_client (calls->kernel, &node->address, node->call_port, 0, 0,
-                                       PROBE_TIMEOUT);
+      peer->probe_client = fh_create_client (calls->kernel, &node->address, node->call_port, 0,
+                                             0, PROBE_TIMEOUT);
       g_hash_table_insert (calls->peers, key, peer);
     }
   peer->instance = node->id;
   return peer;
 }
 
-/* Gives up the calls at PEER that may be made again elsewhere, and keeps new ones from it. A
- * node that is draining gives up none: the peer may only be slow, and a planned stop must not
- * cut a call at which a backend server is at work. */
+/* Cancels the open calls at PEER that may run more than once, so that they are retried
+ * elsewhere, and keeps new calls from it. A draining node cancels none: the peer may only be
+ * slow, and a planned stop must not abort a call that a backend server is running. */
 static void
-leave_silent (peer_t *peer)
+handle_unresponsive_peer (peer_t *peer)
 {
   fn_calls_t *calls = peer->calls;
   fn_entry_t *entry = fk_find_service (calls->kernel, FN_ENTRY);
@@ -227,23 +229,24 @@
   GHashTableIter iter;
   gpointer value;
 
-  fn_avoid_instance (entry, &peer->instance, read_time (calls) + SILENT_TIME);
+  fn_avoid_instance (entry, &peer->instance, read_time (calls) + UNRESPONSIVE_AVOID_TIME);
   if (fn_is_draining (calls->kernel))
     goto done;
-  g_hash_table_iter_init (&iter, calls->sent);
+  g_hash_table_iter_init (&iter, calls->outgoing);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const sent_t *sent = value;
+      const outgoing_call_t *outgoing = value;
 
-      if (sent->peer == peer && !sent->single && sent->started < peer->probed)
-        g_array_append_val (ids, sent->id);
+      if (outgoing->peer == peer && !outgoing->at_most_once
+          && outgoing->started_at < peer->last_probed_at)
+        g_array_append_val (ids, outgoing->id);
     }
   for (guint i = 0; i < ids->len; i++)
     {
       uint64_t id = g_array_index (ids, uint64_t, i);
 
       fn_cancel_sent_call (calls, id);
-      fn_fail_unanswered (entry, id, "the node is silent");
+      fn_fail_unanswered (entry, id, "the node does not answer probes");
     }
 
 done:
@@ -251,73 +254,73 @@
 }
 
 static void
-end_probe (const fh_response_t *response, void *user)
+receive_probe_response (const fh_response_t *response, void *user)
 {
   peer_t *peer = user;
-  bool silent = response->result != FH_ANSWERED;
-
-  peer->probing = false;
-  if (!silent)
-    peer->heard = read_time (peer->calls);
-  if (silent != peer->silent)
-    FB_LOG (
-        fk_get_log (peer->calls->kernel), FB_LOG_WARNING, FN_CALLS,
-        silent ? "a node is silent" : "a node answers again",
-        FB_TEXT ("instance", peer->instance.data),
-        FB_NUMBER ("heard_ms_ago", (read_time (peer->calls) - peer->heard) / FB_MILLISECOND));
-  peer->silent = silent;
-  if (silent)
-    leave_silent (peer);
+  bool unresponsive = response->result != FH_ANSWERED;
+
+  peer->probe_in_flight = false;
+  if (!unresponsive)
+    peer->last_received_at = read_time (peer->calls);
+  if (unresponsive != peer->unresponsive)
+    FB_LOG (fk_get_log (peer->calls->kernel), FB_LOG_WARNING, FN_CALLS,
+            unresponsive ? "a node does not answer probes" : "a node answers probes again",
+            FB_TEXT ("instance", peer->instance.data),
+            FB_NUMBER ("heard_ms_ago",
+                       (read_time (peer->calls) - peer->last_received_at) / FB_MILLISECOND));
+  peer->unresponsive = unresponsive;
+  if (unresponsive)
+    handle_unresponsive_peer (peer);
 }
 
 static void
 probe_peer (peer_t *peer, fb_time_t now)
 {
-  fh_client_request_t outgoing
+  fh_client_request_t request
       = { .method = FB_LITERAL ("GET"), .path = FB_LITERAL (ALIVE_PATH) };
 
-  if (peer->probing || now - peer->probed < PROBE_PERIOD)
+  if (peer->probe_in_flight || now - peer->last_probed_at < PROBE_INTERVAL)
     return;
-  peer->probing = true;
-  peer->probed = now;
+  peer->probe_in_flight = true;
+  peer->last_probed_at = now;
   fb_add_counter (peer->calls->probes, 1);
-  fh_send_request (peer->prober, &outgoing, end_probe, peer);
+  fh_send_request (peer->probe_client, &request, receive_probe_response, peer);
 }
 
-/* Asks the nodes that owe an answer and were not heard of whether they are alive, and the
- * silent ones whether they are back. */
+/* Probes the nodes that have open calls and sent nothing for PROBE_DELAY, and the unresponsive
+ * ones. Pauses the timer when no check is needed. */
 static void
-tick_calls (void *user)
+check_peers (void *user)
 {
   fn_calls_t *calls = user;
   fb_time_t now = read_time (calls);
-  bool waiting = g_hash_table_size (calls->sent) > 0;
+  bool keep_checking = g_hash_table_size (calls->outgoing) > 0;
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, calls->sent);
+  g_hash_table_iter_init (&iter, calls->outgoing);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const sent_t *sent = value;
+      const outgoing_call_t *outgoing = value;
 
-      if (now - MAX (sent->started, sent->peer->heard) >= PROBE_AFTER)
-        probe_peer (sent->peer, now);
+      if (now - MAX (outgoing->started_at, outgoing->peer->last_received_at) >= PROBE_DELAY)
+        probe_peer (outgoing->peer, now);
     }
   g_hash_table_iter_init (&iter, calls->peers);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (((peer_t *)value)->silent)
+    if (((peer_t *)value)->unresponsive)
       {
-        waiting = true;
+        keep_checking = true;
         probe_peer (value, now);
       }
-  if (!waiting)
-    fk_pause_timer (calls->tick);
+  if (!keep_checking)
+    fk_pause_timer (calls->check_timer);
 }
 
-/* Closes the idle connections to an endpoint that left, and forgets its silence; calls in
+/* Closes the idle connections to an endpoint that is dead and marks it as responsive; calls in
  * flight go on. */
 static void
-forget_endpoint (const fw_member_t *endpoint, void *user)
+update_peer (const fw_member_t *endpoint, void *user)
 {
   fn_calls_t *calls = user;
   char *key = format_peer_key (&endpoint->address, endpoint->call_port);
@@ -325,7 +328,7 @@
 
   if (peer && endpoint->state == FW_DEAD)
     {
-      peer->silent = false;
+      peer->unresponsive = false;
       fh_close_idle (peer->client);
     }
   g_free (key);
@@ -334,33 +337,34 @@
 void
 fn_send_call (fn_calls_t *calls, const fw_member_t *node, const fw_call_t *call)
 {
-  sent_t *sent = g_new0 (sent_t, 1);
+  outgoing_call_t *outgoing = g_new0 (outgoing_call_t, 1);
   GByteArray *bytes = fw_pack_call (call);
-  fh_client_request_t outgoing = { .method = FB_LITERAL ("POST"),
-                                   .path = FB_LITERAL (CALL_PATH),
-                                   .body = { bytes->data, bytes->len },
-                                   .repeatable = !call->at_most_once };
-
-  sent->calls = calls;
-  sent->id = call->id;
-  sent->peer = find_peer (calls, node);
-  sent->started = read_time (calls);
-  sent->single = call->at_most_once;
-  g_hash_table_insert (calls->sent, &sent->id, sent);
-  sent->exchange = fh_send_request (sent->peer->client, &outgoing, receive_answer, sent);
-  fk_resume_timer (calls->tick);
+  fh_client_request_t request = { .method = FB_LITERAL ("POST"),
+                                  .path = FB_LITERAL (CALL_PATH),
+                                  .body = { bytes->data, bytes->len },
+                                  .repeatable = !call->at_most_once };
+
+  outgoing->calls = calls;
+  outgoing->id = call->id;
+  outgoing->peer = find_peer (calls, node);
+  outgoing->started_at = read_time (calls);
+  outgoing->at_most_once = call->at_most_once;
+  g_hash_table_insert (calls->outgoing, &outgoing->id, outgoing);
+  outgoing->exchange
+      = fh_send_request (outgoing->peer->client, &request, receive_answer, outgoing);
+  fk_resume_timer (calls->check_timer);
   g_byte_array_unref (bytes);
 }
 
 void
 fn_cancel_sent_call (fn_calls_t *calls, uint64_t id)
 {
-  sent_t *sent = g_hash_table_lookup (calls->sent, &id);
+  outgoing_call_t *outgoing = g_hash_table_lookup (calls->outgoing, &id);
 
-  if (!sent)
+  if (!outgoing)
     return;
-  fh_cancel_exchange (sent->exchange);
-  g_hash_table_remove (calls->sent, &id);
+  fh_cancel_exchange (outgoing->exchange);
+  g_hash_table_remove (calls->outgoing, &id);
 }
 
 static fb_status_t
@@ -369,9 +373,10 @@
   fn_calls_t *calls = data;
   const fc_settings_t *settings = fn_get_settings (kernel);
 
-  calls->server = fh_create_server (kernel, &settings->address, settings->call_port,
-                                    FW_REQUEST_BODY_MAX + HEADER_MAX, receive_request, calls);
-  calls->tick = fk_create_timer (kernel, PROBE_TICK, tick_calls, calls);
+  calls->server
+      = fh_create_server (kernel, &settings->address, settings->call_port,
+                          FW_REQUEST_BODY_MAX + HEADER_MAX_BYTES, receive_request, calls);
+  calls->check_timer = fk_create_timer (kernel, PEER_CHECK_INTERVAL, check_peers, calls);
   return calls->server ? FB_OK : FB_IO;
 }
 
@@ -381,7 +386,7 @@
   peer_t *peer = data;
 
   fh_destroy_client (peer->client);
-  fh_destroy_client (peer->prober);
+  fh_destroy_client (peer->probe_client);
   g_free (peer);
 }
 
@@ -392,7 +397,7 @@
 
   if (calls->server)
     fh_stop_accepting (calls->server);
-  fk_destroy_timer (calls->tick);
+  fk_destroy_timer (calls->check_timer);
   g_hash_table_remove_all (calls->peers);
 }
 
@@ -403,7 +408,7 @@
 
   fh_destroy_server (calls->server);
   g_hash_table_destroy (calls->peers);
-  g_hash_table_destroy (calls->sent);
+  g_hash_table_destroy (calls->outgoing);
   g_free (calls);
 }
 
@@ -415,9 +420,9 @@
 
   calls->kernel = kernel;
   calls->peers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, destroy_peer);
-  calls->sent = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
+  calls->outgoing = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   calls->probes = fb_find_counter (fk_get_counters (kernel), "calls_probes", "");
   calls->malformed = fb_find_counter (fk_get_counters (kernel), "malformed_call_messages", "");
-  fn_watch_endpoints (fk_find_service (kernel, FN_DIRECTORY), forget_endpoint, calls);
+  fn_watch_endpoints (fk_find_service (kernel, FN_DIRECTORY), update_peer, calls);
   fk_register_service (kernel, FN_CALLS, &vtable, calls);
 }
