--- a/packages/node/source/node-admin.c
+++ b/packages/node/source/node-admin.c
@@ -7,8 +7,7 @@
 #include <sodium.h>
 #include <string.h>
 
-/* Requests to the administration carry no bodies of note. */
-#define ADMIN_BODY_MAX 4096
+#define ADMIN_BODY_MAX_BYTES 4096
 
 typedef struct
 {
@@ -16,14 +15,15 @@
   fh_server_t *server;
 } admin_t;
 
-/* One path of the administration; ANSWER returns a new object, and the status in STATUS. */
+/* Handler of one method and path. ANSWER returns a new object and sets STATUS when it is not
+ * 200. */
 typedef struct
 {
   fb_str_t method;
   fb_str_t path;
-  bool changes; /* needs the key */
+  bool requires_key;
   json_t *(*answer) (admin_t *admin, uint32_t *status);
-} endpoint_t;
+} handler_t;
 
 static fn_distribution_t *
 find_distribution (admin_t *admin)
@@ -152,7 +152,7 @@
   g_string_free (text, TRUE);
 }
 
-/* Takes over OBJECT. */
+/* Responds with OBJECT and releases it. */
 static void
 respond_json (fh_request_t *request, uint32_t status, json_t *object)
 {
@@ -167,13 +167,12 @@
 }
 
 static bool
-is_explain (fb_str_t path)
+is_explain_path (fb_str_t path)
 {
   return fb_equal_str (path, FB_LITERAL ("/explain"))
          || fb_has_prefix (path, FB_LITERAL ("/explain?"));
 }
 
-/* Explains the request that the query of PATH describes. */
 static void
 answer_explain (admin_t *admin, fh_request_t *request, fb_str_t path)
 {
@@ -192,22 +191,24 @@
   respond_json (request, status, answer);
 }
 
-/* Compares the request's bearer key with the settings' key in constant time. */
+/* Returns whether REQUEST carries the key of the settings as its bearer token. The comparison
+ * takes constant time. */
 static bool
-holds_key (admin_t *admin, fh_request_t *request)
+has_valid_key (admin_t *admin, fh_request_t *request)
 {
   static const fb_str_t scheme = { "Bearer ", 7 };
   const fb_name_t *key = &fn_get_settings (admin->kernel)->admin_key;
   const fh_header_t *headers;
   size_t count = fh_get_headers (request, &headers);
-  fb_str_t given = fh_find_header (headers, count, FB_LITERAL ("authorization"));
+  fb_str_t authorization = fh_find_header (headers, count, FB_LITERAL ("authorization"));
 
-  if (key->len == 0 || !fb_has_prefix (given, scheme) || given.len - scheme.len != key->len)
+  if (key->len == 0 || !fb_has_prefix (authorization, scheme)
+      || authorization.len - scheme.len != key->len)
     return false;
-  return sodium_memcmp (given.data + scheme.len, key->data, key->len) == 0;
+  return sodium_memcmp (authorization.data + scheme.len, key->data, key->len) == 0;
 }
 
-static const endpoint_t endpoints[] = {
+static const handler_t handlers[] = {
   { FB_LITERAL ("GET"), FB_LITERAL ("/health"), false, answer_health },
   { FB_LITERAL ("GET"), FB_LITERAL ("/ready"), false, answer_ready },
   { FB_LITERAL ("GET"), FB_LITERAL ("/version"), false, answer_version },
@@ -218,17 +219,17 @@
 };
 
 static void
-answer_endpoint (admin_t *admin, const endpoint_t *endpoint, fh_request_t *request)
+call_handler (admin_t *admin, const handler_t *handler, fh_request_t *request)
 {
   uint32_t status = 200;
   json_t *object;
 
-  if (endpoint->changes && !holds_key (admin, request))
+  if (handler->requires_key && !has_valid_key (admin, request))
     {
-      respond_json (request, 401, json_pack ("{s:s}", "error", "missing or wrong key"));
+      respond_json (request, 401, json_pack ("{s:s}", "error", "missing or invalid key"));
       return;
     }
-  object = endpoint->answer (admin, &status);
+  object = handler->answer (admin, &status);
   respond_json (request, status, object);
 }
 
@@ -237,9 +238,9 @@
 {
   admin_t *admin = user;
   fb_str_t path = fh_get_path (request);
-  bool known = false;
+  bool path_found = false;
 
-  if (is_explain (path))
+  if (is_explain_path (path))
     {
       answer_explain (admin, request, path);
       return;
@@ -249,19 +250,20 @@
       answer_metrics (admin, request);
       return;
     }
-  for (size_t i = 0; i < G_N_ELEMENTS (endpoints); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (handlers); i++)
     {
-      if (!fb_equal_str (path, endpoints[i].path))
+      if (!fb_equal_str (path, handlers[i].path))
         continue;
-      known = true;
-      if (fb_equal_str (fh_get_method (request), endpoints[i].method))
+      path_found = true;
+      if (fb_equal_str (fh_get_method (request), handlers[i].method))
         {
-          answer_endpoint (admin, &endpoints[i], request);
+          call_handler (admin, &handlers[i], request);
           return;
         }
     }
-  respond_json (request, known ? 405 : 404,
-                json_pack ("{s:s}", "error", known ? "method not allowed" : "unknown path"));
+  respond_json (
+      request, path_found ? 405 : 404,
+      json_pack ("{s:s}", "error", path_found ? "method not allowed" : "unknown path"));
 }
 
 static bool
@@ -282,12 +284,12 @@
   if (!is_loopback (&settings->address) && settings->admin_key.len == 0)
     {
       FB_LOG (fk_get_log (kernel), FB_LOG_ERROR, FN_ADMIN,
-              "an address that is not loopback needs a key",
+              "a listen address that is not loopback requires a key in [admin]",
               FB_TEXT ("address", settings->address.data));
       return FB_INVALID;
     }
   admin->server = fh_create_server (kernel, &settings->address, settings->admin_port,
-                                    ADMIN_BODY_MAX, handle_request, admin);
+                                    ADMIN_BODY_MAX_BYTES, handle_request, admin);
   return admin->server ? FB_OK : FB_IO;
 }
 
--- a/packages/node/source/node-burn.c
+++ b/packages/node/source/node-burn.c
@@ -1,4 +1,4 @@
-/* burn: counts callers' calls against the objectives of the configuration in force. */
+/* Counts callers' calls against the objectives of the configuration in force. */
 #include "node-services.h"
 #include <foxtailrun/report/burn.h>
 #include <glib.h>
@@ -6,27 +6,27 @@
 struct fn_burn
 {
   fk_kernel_t *kernel;
-  fs_burn_t *counts;
-  fc_snapshot_t *snapshot; /* whose objectives are counted; holds a reference */
+  fs_burn_t *burn_counts;
+  fc_snapshot_t *snapshot; /* source of the objectives; holds a reference */
 };
 
-/* Takes over the objectives of the snapshot in force, when it is another one. */
+/* Updates the objectives when another snapshot has come into force. */
 static void
-follow_snapshot (fn_burn_t *burn)
+update_objectives (fn_burn_t *burn)
 {
   fc_snapshot_t *snapshot = fn_get_snapshot (fk_find_service (burn->kernel, FN_DISTRIBUTION));
 
   if (snapshot == burn->snapshot)
     return;
-  fs_set_objectives (burn->counts, snapshot);
+  fs_set_objectives (burn->burn_counts, snapshot);
   fc_release_snapshot (burn->snapshot);
   burn->snapshot = snapshot ? fc_retain_snapshot (snapshot) : NULL;
 }
 
-/* Returns the cause under which ANSWER counts. An answer with a status of 500 or more is no
- * service to the caller, although the backend server gave it. */
+/* Returns the cause under which ANSWER is counted. A status of 500 or more counts as failed
+ * even when the backend server sent it, since the caller was not served. */
 static fs_cause_t
-judge_answer (const fw_call_t *answer)
+get_burn_cause (const fw_call_t *answer)
 {
   switch (answer->outcome)
     {
@@ -42,9 +42,9 @@
   return FS_UNKNOWN;
 }
 
-/* Returns whether ANSWER says nothing about the service: 428 hands out a ticket and is a step
- * of every call that runs at most once, 422 rejects a wrong ticket, and 499 ends a call that
- * its caller gave up. */
+/* Returns whether ANSWER is not counted, since it does not depend on the service: 428 issues a
+ * ticket, a step of every call that runs at most once; 422 rejects an invalid ticket; 499 ends
+ * a call that its caller cancelled. */
 static bool
 is_ignored (const fw_call_t *answer)
 {
@@ -58,10 +58,11 @@
 {
   if (is_ignored (answer))
     return;
-  follow_snapshot (burn);
-  fs_count_call (burn->counts, fb_get_name (&fc_get_service (snapshot, route->service)->name),
+  update_objectives (burn);
+  fs_count_call (burn->burn_counts,
+                 fb_get_name (&fc_get_service (snapshot, route->service)->name),
                  fb_get_name (&fc_get_rank (snapshot, route->rank)->name),
-                 judge_answer (answer), fb_read_clock (fk_get_clock (burn->kernel)) - start);
+                 get_burn_cause (answer), fb_read_clock (fk_get_clock (burn->kernel)) - start);
 }
 
 void
@@ -75,32 +76,33 @@
 }
 
 static json_t *
-pack_window (const fs_objective_counts_t *reading, fs_window_t window)
+pack_window (const fs_objective_counts_t *objective_counts, fs_window_t window)
 {
-  const fs_counts_t *counts = &reading->windows[window];
-  json_t *object = json_pack ("{s:s,s:I,s:f}", "window", fs_describe_window (window),
-                              "reach_ms", (json_int_t)(counts->reach_min / FB_MILLISECOND),
-                              "rate", fs_compute_burn_rate (counts, reading->objective.ratio));
+  const fs_counts_t *window_counts = &objective_counts->windows[window];
+  json_t *object
+      = json_pack ("{s:s,s:I,s:f}", "window", fs_describe_window (window), "reach_ms",
+                   (json_int_t)(window_counts->reach_min / FB_MILLISECOND), "rate",
+                   fs_compute_burn_rate (window_counts, objective_counts->objective.ratio));
 
   for (int cause = 0; cause < FS_CAUSE_COUNT; cause++)
     json_object_set_new (object, fs_describe_cause ((fs_cause_t)cause),
-                         json_integer ((json_int_t)counts->calls[cause]));
+                         json_integer ((json_int_t)window_counts->calls[cause]));
   return object;
 }
 
 static json_t *
-pack_reading (const fs_objective_counts_t *reading)
+pack_objective (const fs_objective_counts_t *objective_counts)
 {
-  const fs_objective_t *objective = &reading->objective;
+  const fs_objective_t *objective = &objective_counts->objective;
   json_t *windows = json_array ();
 
   for (int window = 0; window < FS_WINDOW_COUNT; window++)
-    json_array_append_new (windows, pack_window (reading, (fs_window_t)window));
+    json_array_append_new (windows, pack_window (objective_counts, (fs_window_t)window));
   return json_pack ("{s:s,s:s,s:I,s:f,s:s,s:f,s:o}", "service", objective->service.data, "rank",
                     objective->rank.data, "target_ms", (json_int_t)objective->target_ms,
                     "ratio", objective->ratio, "alert",
-                    fs_describe_alert (fs_evaluate_alert (reading)), "budget",
-                    fs_compute_budget_left (reading), "windows", windows);
+                    fs_describe_alert (fs_evaluate_alert (objective_counts)), "budget",
+                    fs_compute_budget_left (objective_counts), "windows", windows);
 }
 
 json_t *
@@ -108,11 +110,11 @@
 {
   const fc_settings_t *settings = fn_get_settings (burn->kernel);
   json_t *list = json_array ();
-  fs_objective_counts_t reading;
+  fs_objective_counts_t objective_counts;
 
-  follow_snapshot (burn);
-  for (size_t i = 0; fs_get_objective_counts (burn->counts, i, &reading); i++)
-    json_array_append_new (list, pack_reading (&reading));
+  update_objectives (burn);
+  for (size_t i = 0; fs_get_objective_counts (burn->burn_counts, i, &objective_counts); i++)
+    json_array_append_new (list, pack_objective (&objective_counts));
   return json_pack ("{s:s,s:s,s:o}", "id", settings->id.data, "zone", settings->zone.data,
                     "objectives", list);
 }
@@ -122,7 +124,7 @@
 {
   fn_burn_t *burn = data;
 
-  fs_destroy_burn (burn->counts);
+  fs_destroy_burn (burn->burn_counts);
   fc_release_snapshot (burn->snapshot);
   g_free (burn);
 }
@@ -134,6 +136,6 @@
   fn_burn_t *burn = g_new0 (fn_burn_t, 1);
 
   burn->kernel = kernel;
-  burn->counts = fs_create_burn (fk_get_clock (kernel));
+  burn->burn_counts = fs_create_burn (fk_get_clock (kernel));
   fk_register_service (kernel, FN_BURN, &vtable, burn);
 }
--- a/packages/node/source/node-directory.c
+++ b/packages/node/source/node-directory.c
@@ -31,7 +31,7 @@
 }
 
 static void
-take_member (const fw_member_t *member, void *user)
+update_from_member (const fw_member_t *member, void *user)
 {
   fn_update_endpoint (user, member);
 }
@@ -47,25 +47,25 @@
       = g_hash_table_new_full (fb_hash_name_key, fb_equal_name_keys, NULL, g_free);
   fk_register_service (kernel, FN_DIRECTORY, &vtable, directory);
   if (!fn_get_adapter (kernel)->source_lists_endpoints)
-    fn_watch_members (fk_find_service (kernel, FN_MEMBERSHIP), take_member, kernel);
+    fn_watch_members (fk_find_service (kernel, FN_MEMBERSHIP), update_from_member, kernel);
 }
 
 void
 fn_update_endpoint (fk_kernel_t *kernel, const fw_member_t *endpoint)
 {
   fn_directory_t *directory = fk_find_service (kernel, FN_DIRECTORY);
-  fw_member_t *known = g_hash_table_lookup (directory->endpoints, &endpoint->id);
+  fw_member_t *stored = g_hash_table_lookup (directory->endpoints, &endpoint->id);
   fw_member_t current = *endpoint;
 
-  if (!known && endpoint->state == FW_DEAD)
+  if (!stored && endpoint->state == FW_DEAD)
     return;
-  if (!known)
+  if (!stored)
     {
-      known = g_new0 (fw_member_t, 1);
-      *known = *endpoint;
-      g_hash_table_insert (directory->endpoints, &known->id, known);
+      stored = g_new0 (fw_member_t, 1);
+      *stored = *endpoint;
+      g_hash_table_insert (directory->endpoints, &stored->id, stored);
     }
-  *known = *endpoint;
+  *stored = *endpoint;
   for (size_t i = 0; i < directory->watcher_count; i++)
     directory->watchers[i].changed (&current, directory->watchers[i].user);
   if (current.state == FW_DEAD)
--- a/packages/node/source/node-drain.c
+++ b/packages/node/source/node-drain.c
@@ -2,13 +2,13 @@
 #include <foxtailrun/node/node.h>
 #include <glib.h>
 
-#define CHECK_PERIOD (20 * FB_MILLISECOND)
+#define DRAIN_CHECK_INTERVAL (20 * FB_MILLISECOND)
 
 typedef struct
 {
   fk_kernel_t *kernel;
   fk_timer_t *timer;
-  fb_time_t began; /* 0 while serving */
+  fb_time_t started_at; /* 0 before the drain */
   bool closed;
 } drain_t;
 
@@ -23,7 +23,7 @@
 check_drain (void *user)
 {
   drain_t *drain = user;
-  fb_time_t elapsed = fb_read_clock (fk_get_clock (drain->kernel)) - drain->began;
+  fb_time_t elapsed = fb_read_clock (fk_get_clock (drain->kernel)) - drain->started_at;
 
   if (elapsed < FN_DRAIN_GRACE)
     return;
@@ -52,7 +52,7 @@
 }
 
 static void
-receive_signal (void *user)
+handle_signal (void *user)
 {
   fn_begin_drain (user);
 }
@@ -60,7 +60,7 @@
 static fb_status_t
 start_drain (fk_kernel_t *kernel, void *data)
 {
-  fk_watch_signals (kernel, receive_signal, kernel);
+  fk_watch_signals (kernel, handle_signal, kernel);
   return FB_OK;
 }
 
@@ -79,24 +79,24 @@
 {
   drain_t *drain = fk_find_service (kernel, FN_DRAIN);
 
-  if (drain->began != 0)
+  if (drain->started_at != 0)
     return;
-  drain->began = fb_read_clock (fk_get_clock (kernel));
+  drain->started_at = fb_read_clock (fk_get_clock (kernel));
   FB_LOG (fk_get_log (kernel), FB_LOG_INFO, FN_DRAIN, "draining",
           FB_NUMBER ("open_calls", count_open_calls (kernel)));
   fn_disable_keep_alive (fk_find_service (kernel, FN_ENTRY));
-  /* Without a membership protocol the other nodes learn of it by the first refused call. Until
-   * the entry closes, the backend server beside this node goes on taking calls. */
+  /* Without a membership protocol other nodes detect the drain only by a refused call. Until
+   * the entry closes, the backend server beside this node continues to accept calls. */
   if (!fn_get_adapter (kernel)->source_lists_endpoints)
     {
       fm_announce_leaving (fn_get_members (fk_find_service (kernel, FN_MEMBERSHIP)));
       fn_drain_backend (fk_find_service (kernel, FN_BACKEND), false);
     }
-  drain->timer = fk_create_timer (kernel, CHECK_PERIOD, check_drain, drain);
+  drain->timer = fk_create_timer (kernel, DRAIN_CHECK_INTERVAL, check_drain, drain);
 }
 
 bool
 fn_is_draining (fk_kernel_t *kernel)
 {
-  return ((drain_t *)fk_find_service (kernel, FN_DRAIN))->began != 0;
+  return ((drain_t *)fk_find_service (kernel, FN_DRAIN))->started_at != 0;
 }
--- a/packages/node/source/node-explain.c
+++ b/packages/node/source/node-explain.c
@@ -1,4 +1,4 @@
-/* GET /explain: the route of a request and the instances that it may go to. */
+/* GET /explain: the route of a request and the instances that it may be sent to. */
 #include "node-explain.h"
 #include "node-entry.h"
 #include <string.h>
@@ -7,12 +7,12 @@
 {
   json_t *list;
   fb_str_t service;
-  size_t order; /* of the last candidate */
-} instances_t;
+  size_t candidate_count;
+} instance_list_t;
 
-/* Returns the decoded value of parameter NAME of QUERY, or NULL; the caller frees it. */
+/* Returns the decoded value of parameter NAME of QUERY, or NULL; free it by g_free. */
 static char *
-read_parameter (fb_str_t query, const char *name)
+find_query_parameter (fb_str_t query, const char *name)
 {
   size_t length = strlen (name);
   char *value = NULL;
@@ -54,10 +54,11 @@
 static void
 append_instance (const fr_preference_t *preference, void *user)
 {
-  instances_t *instances = user;
+  instance_list_t *instances = user;
   const fw_member_t *member = preference->member;
-  json_t *order
-      = preference->candidate ? json_integer ((json_int_t)++instances->order) : json_null ();
+  json_t *order = preference->candidate
+                      ? json_integer ((json_int_t)++instances->candidate_count)
+                      : json_null ();
 
   json_array_append_new (
       instances->list,
@@ -68,11 +69,12 @@
                  describe_use (preference)));
 }
 
-/* Adds members of the service that no picker uses: those that are leaving or dead. */
+/* Appends MEMBER when it belongs to the service and is leaving or dead: the picker has no such
+ * instances. */
 static bool
-append_gone (const fw_member_t *member, void *user)
+append_unavailable_member (const fw_member_t *member, void *user)
 {
-  instances_t *instances = user;
+  instance_list_t *instances = user;
 
   if ((member->state == FW_LEAVING || member->state == FW_DEAD)
       && fb_equal_str (fb_get_name (&member->service), instances->service))
@@ -84,23 +86,24 @@
   return true;
 }
 
-/* Adds the route and the instances to ANSWER; returns the result as text. */
+/* Adds the route and its instances to ANSWER; returns the text of the result. */
 static const char *
 explain_route (fk_kernel_t *kernel, const fc_snapshot_t *snapshot, const fc_route_t *route,
                json_t *answer)
 {
   fn_entry_t *entry = fk_find_service (kernel, FN_ENTRY);
-  instances_t instances = { .list = json_array () };
+  instance_list_t instances = { .list = json_array () };
 
   instances.service = fb_get_name (&fc_get_service (snapshot, route->service)->name);
   fr_visit_instances (entry->picker, instances.service, route->rank, append_instance,
                       &instances);
-  fm_visit_members (fn_get_members (fk_find_service (kernel, FN_MEMBERSHIP)), append_gone,
-                    &instances);
+  fm_visit_members (fn_get_members (fk_find_service (kernel, FN_MEMBERSHIP)),
+                    append_unavailable_member, &instances);
   json_object_set_new (answer, "route", describe_route (snapshot, route));
   json_object_set_new (answer, "instances", instances.list);
-  return instances.order > 0 ? "one of the candidates, the earlier in order the more likely"
-                             : "503 not run: no instance of the service";
+  return instances.candidate_count > 0
+             ? "one of the candidates; those earlier in order are more likely"
+             : "503 not run: no instance of the service";
 }
 
 json_t *
@@ -110,9 +113,9 @@
   const fc_settings_t *settings = fn_get_settings (kernel);
   const fc_snapshot_t *snapshot = fn_get_snapshot (distribution);
   bool ready = fn_is_ready (distribution);
-  char *method = read_parameter (query, "method");
-  char *path = read_parameter (query, "path");
-  char *host = read_parameter (query, "host");
+  char *method = find_query_parameter (query, "method");
+  char *path = find_query_parameter (query, "path");
+  char *host = find_query_parameter (query, "host");
   const fc_route_t *route = NULL;
   const char *result = "503 not run: no configuration is in force";
   json_t *answer;
@@ -139,7 +142,8 @@
   else
     {
       *status = 400;
-      answer = json_pack ("{s:s}", "error", "needs ?method=METHOD&path=/PATH in UTF-8");
+      answer = json_pack ("{s:s}", "error",
+                          "query must contain method=METHOD&path=/PATH in UTF-8");
     }
   g_free (host);
   g_free (path);
--- a/packages/node/source/node-explain.h
+++ b/packages/node/source/node-explain.h
@@ -1,12 +1,12 @@
-/* Explanation of where a request would go. */
+/* The route of a request and the instances that it may be sent to. */
 #ifndef FOXTAILRUN_NODE_EXPLAIN_H
 #define FOXTAILRUN_NODE_EXPLAIN_H
 
 #include "node-services.h"
 #include <jansson.h>
 
-/* Explains the request that QUERY, "method=M&path=P" with escapes, describes. Returns a new
- * object; *STATUS becomes 400 when QUERY does not describe a request. */
+/* Describes where a request would be sent. QUERY is "method=M&path=P", percent-encoded, with an
+ * optional "&host=H". Returns a new object; *STATUS is set to 400 when QUERY is invalid. */
 json_t *fn_explain_request (fk_kernel_t *kernel, fb_str_t query, uint32_t *status);
 
 #endif
--- a/packages/node/source/node-ready.c
+++ b/packages/node/source/node-ready.c
@@ -1,9 +1,9 @@
-/* Readiness on a port of its own, for platforms that ask there. */
+/* Readiness endpoint on a separate port, for health checks of a platform. */
 #include "node-services.h"
 #include <foxtailrun/http/server.h>
 #include <glib.h>
 
-#define BODY_MAX 1024
+#define READY_BODY_MAX_BYTES 1024
 
 typedef struct
 {
@@ -15,10 +15,10 @@
 handle_request (fh_request_t *request, void *user)
 {
   ready_t *ready = user;
-  bool serving = fn_is_ready (fk_find_service (ready->kernel, FN_DISTRIBUTION))
-                 && !fn_is_draining (ready->kernel);
+  bool is_serving = fn_is_ready (fk_find_service (ready->kernel, FN_DISTRIBUTION))
+                    && !fn_is_draining (ready->kernel);
 
-  fh_respond (request, serving ? 200 : 503, NULL, 0, (fb_bytes_t){ NULL, 0 });
+  fh_respond (request, is_serving ? 200 : 503, NULL, 0, (fb_bytes_t){ NULL, 0 });
 }
 
 static fb_status_t
@@ -29,8 +29,8 @@
 
   if (settings->ready_port == 0)
     return FB_OK;
-  ready->server = fh_create_server (kernel, &settings->address, settings->ready_port, BODY_MAX,
-                                    handle_request, ready);
+  ready->server = fh_create_server (kernel, &settings->address, settings->ready_port,
+                                    READY_BODY_MAX_BYTES, handle_request, ready);
   return ready->server ? FB_OK : FB_IO;
 }
 
