--- a/packages/node/source/node-entry-attempt.c
+++ b/packages/node/source/node-entry-attempt.c
@@ -107,7 +107,7 @@
                    (fb_time_t)answer->service_us * FB_MICROSECOND,
                    (fb_time_t)answer->wait_us * FB_MICROSECOND);
   fr_report_ranked (entry->picker, instance, call->route->rank, classify_answer (answer),
-                    read_time (entry) - call->attempt_start, answer->load);
+                    read_time (entry) - call->attempt_started_at, answer->load);
   fr_report_customer (entry->throttle, get_service_name (call), call->route->rank,
                       call->customer, accepted);
   call->may_have_run |= answer->outcome != FW_NOT_RUN;
@@ -183,7 +183,7 @@
   *message = (fw_call_t){
     .kind = FW_CALL,
     .id = call->attempt_id,
-    .remaining_us = (uint64_t)((call->deadline - call->attempt_start) / FB_MICROSECOND),
+    .remaining_us = (uint64_t)((call->deadline - call->attempt_started_at) / FB_MICROSECOND),
     .service = get_service_name (call),
     .rank = fb_get_name (&fc_get_rank (call->snapshot, route->rank)->name),
     .customer = call->customer,
@@ -192,7 +192,7 @@
     .path = fh_get_path (call->request),
     .at_most_once = !route->repeatable,
     .target_left_us
-    = (uint64_t)(MAX (call->target_time - call->attempt_start, 0) / FB_MICROSECOND),
+    = (uint64_t)(MAX (call->target_time - call->attempt_started_at, 0) / FB_MICROSECOND),
     .is_caller_retry = call->is_caller_retry,
     .earlier_attempt_arrived = call->reached_backend || call->parent_is_repeat,
     .ticket = call->ticket,
@@ -213,7 +213,7 @@
   uint64_t handle;
 
   call->attempt_id = attempt_id;
-  call->attempt_start = read_time (entry);
+  call->attempt_started_at = read_time (entry);
   call->is_local = is_local (entry, node);
   g_hash_table_insert (entry->attempts, &call->attempt_id, call);
   build_message (call, &message);
--- a/packages/node/source/node-entry.c
+++ b/packages/node/source/node-entry.c
@@ -117,10 +117,10 @@
           FB_NUMBER ("version", fc_get_version_number (call->snapshot)),
           FB_TEXT ("instance", instance), FB_NUMBER ("attempts", call->attempt_count),
           FB_NUMBER ("again", call->is_caller_retry),
-          FB_NUMBER ("total_ms", (now - call->start) / FB_MILLISECOND),
-          FB_NUMBER ("target_ms", (call->target_time - call->start) / FB_MILLISECOND),
-          FB_NUMBER ("limit_ms", (call->deadline - call->start) / FB_MILLISECOND),
-          FB_NUMBER ("attempt_ms", (now - call->attempt_start) / FB_MILLISECOND),
+          FB_NUMBER ("total_ms", (now - call->arrived_at) / FB_MILLISECOND),
+          FB_NUMBER ("target_ms", (call->target_time - call->arrived_at) / FB_MILLISECOND),
+          FB_NUMBER ("limit_ms", (call->deadline - call->arrived_at) / FB_MILLISECOND),
+          FB_NUMBER ("attempt_ms", (now - call->attempt_started_at) / FB_MILLISECOND),
           FB_NUMBER ("service_ms", answer->service_us / 1000),
           FB_NUMBER ("wait_ms", answer->wait_us / 1000), FB_NUMBER ("load", answer->load));
 }
@@ -139,9 +139,9 @@
     }
   log_call (call, &final_answer);
   fb_observe_time (entry->durations[final_answer.outcome],
-                   fb_read_clock (fk_get_clock (entry->kernel)) - call->start);
+                   fb_read_clock (fk_get_clock (entry->kernel)) - call->arrived_at);
   fn_count_burn (fk_find_service (entry->kernel, FN_BURN), call->snapshot, call->route,
-                 &final_answer, call->start);
+                 &final_answer, call->arrived_at);
   respond (entry, call->request, &final_answer, call->request_id);
   fk_destroy_timer (call->timer);
   fc_release_snapshot (call->snapshot);
@@ -260,7 +260,7 @@
     target = fc_get_rank (call->snapshot, call->route->rank)->target_ms;
   call->latency_target = target * FB_MILLISECOND;
   call->is_caller_retry = spent > 0;
-  call->target_time = call->start + MAX (call->latency_target - spent, 0);
+  call->target_time = call->arrived_at + MAX (call->latency_target - spent, 0);
 }
 
 /* Returns whether SEGMENT of a path is not empty, is no dot segment, and has no escaped dot or
@@ -355,8 +355,8 @@
   call->customer = read_customer (entry, request);
   call->ticket = find_request_header (request, FB_LITERAL ("foxtailrun-ticket"));
   g_strlcpy (call->request_id, request_id, sizeof call->request_id);
-  call->start = fb_read_clock (fk_get_clock (entry->kernel));
-  call->deadline = call->start + timeout;
+  call->arrived_at = fb_read_clock (fk_get_clock (entry->kernel));
+  call->deadline = call->arrived_at + timeout;
   set_target_time (call, caller_timeout);
   call->timer = fk_create_timeout (entry->kernel, timeout, expire_call, call);
   entry->open_calls++;
--- a/packages/node/source/node-entry.h
+++ b/packages/node/source/node-entry.h
@@ -59,7 +59,7 @@
   fb_str_t customer;
   fb_str_t ticket;
   char request_id[64];
-  fb_time_t start;
+  fb_time_t arrived_at;
   fb_time_t deadline;
   fb_time_t latency_target; /* of the route, or of its rank */
   fb_time_t target_time;    /* until which an answer is in time */
@@ -74,7 +74,7 @@
   bool parent_is_repeat;          /* sent by a backend server that runs a repeated call */
   fb_name_t tried_instances[FN_ATTEMPTS_MAX];
   uint64_t attempt_id; /* open attempt, 0 when none */
-  fb_time_t attempt_start;
+  fb_time_t attempt_started_at;
   uint64_t local_handle; /* of the open attempt at the backend server beside this node */
   bool is_local;
 } fn_entry_call_t;
--- a/packages/node/source/node-explain.c
+++ b/packages/node/source/node-explain.c
@@ -102,7 +102,7 @@
   json_object_set_new (answer, "route", describe_route (snapshot, route));
   json_object_set_new (answer, "instances", instances.list);
   return instances.candidate_count > 0
-             ? "one of the candidates; those earlier in order are more likely"
+             ? "one of the candidates, the earlier in order the more likely"
              : "503 not run: no instance of the service";
 }
 
