--- a/packages/node/source/node-calls.c
+++ b/packages/node/source/node-calls.c
@@ -317,8 +317,8 @@
     fk_pause_timer (calls->check_timer);
 }
 
-/* Closes the idle connections to an endpoint that is dead and marks it as responsive; calls in
- * flight go on. */
+/* Closes the idle connections to an endpoint that is dead and clears its unresponsive state;
+ * calls in flight go on. */
 static void
 update_peer (const fw_member_t *endpoint, void *user)
 {
