--- a/packages/node/source/node-admin.c
+++ b/packages/node/source/node-admin.c
@@ -226,7 +226,7 @@
 
   if (handler->requires_key && !has_valid_key (admin, request))
     {
-      respond_json (request, 401, json_pack ("{s:s}", "error", "missing or invalid key"));
+      respond_json (request, 401, json_pack ("{s:s}", "error", "missing or wrong key"));
       return;
     }
   object = handler->answer (admin, &status);
--- a/packages/node/source/node-calls.c
+++ b/packages/node/source/node-calls.c
@@ -183,8 +183,7 @@
       fn_end_attempt (entry, &answer);
     }
   else
-    fn_fail_unanswered (
-        entry, id, response->error ? response->error : "response is not a valid call message");
+    fn_fail_unanswered (entry, id, response->error ? response->error : "no call message");
 }
 
 static char *
@@ -246,7 +245,7 @@
       uint64_t id = g_array_index (ids, uint64_t, i);
 
       fn_cancel_sent_call (calls, id);
-      fn_fail_unanswered (entry, id, "the node does not answer probes");
+      fn_fail_unanswered (entry, id, "the node is silent");
     }
 
 done:
--- a/packages/node/source/node-entry-attempt.c
+++ b/packages/node/source/node-entry-attempt.c
@@ -244,8 +244,7 @@
   node = find_node (entry, &ticket.node);
   if (!node || node->state == FW_DEAD)
     {
-      fn_finish_with_outcome (call, FW_UNKNOWN, 504,
-                              "the node that issued the ticket is no longer available");
+      fn_finish_with_outcome (call, FW_UNKNOWN, 504, "the node that issued the ticket is gone");
       return;
     }
   call->tried_instances[call->attempt_count++] = ticket.node;
@@ -280,8 +279,7 @@
   if (!node)
     {
       fr_report_ranked (entry->picker, &instance, call->route->rank, FR_RESULT_CANCELLED, 0, 0);
-      fn_finish_with_outcome (call, FW_NOT_RUN, 503,
-                              "the picked instance is no longer available");
+      fn_finish_with_outcome (call, FW_NOT_RUN, 503, "the chosen instance has left");
       return;
     }
   send_attempt (call, node);
--- a/packages/node/source/node-entry.c
+++ b/packages/node/source/node-entry.c
@@ -314,19 +314,19 @@
   for (size_t i = 0; i < path.len; i++)
     {
       if ((unsigned char)path.data[i] <= ' ')
-        return "path contains a control byte or a space";
+        return "path holds a control byte or a space";
     }
   if (dialect->resolves_paths && !is_normalized_path (path))
-    return "path contains an empty, dot or escaped segment";
+    return "path holds an empty, dot or escaped segment";
   for (size_t i = 0; i < count; i++)
     {
       if (memchr (headers[i].value.data, '\n', headers[i].value.len)
           || memchr (headers[i].value.data, '\r', headers[i].value.len)
           || memchr (headers[i].name.data, '\n', headers[i].name.len))
-        return "header contains a line break";
+        return "header holds a line break";
     }
   if (find_request_header (request, dialect->customer).len > FB_NAME_MAX)
-    return "customer name is longer than " G_STRINGIFY (FB_NAME_MAX) " bytes";
+    return "customer name is too long";
   return NULL;
 }
 
--- a/packages/node/source/node-explain.c
+++ b/packages/node/source/node-explain.c
@@ -142,8 +142,7 @@
   else
     {
       *status = 400;
-      answer = json_pack ("{s:s}", "error",
-                          "query must contain method=METHOD&path=/PATH in UTF-8");
+      answer = json_pack ("{s:s}", "error", "needs ?method=METHOD&path=/PATH in UTF-8");
     }
   g_free (host);
   g_free (path);
