--- a/packages/node/include/foxtailrun/node/node.h
+++ b/packages/node/include/foxtailrun/node/node.h
@@ -6,12 +6,12 @@
 #include <foxtailrun/kernel/kernel.h>
 #include <foxtailrun/node/adapter.h>
 
-/* Registers all services of a node on KERNEL; SETTINGS and ADAPTER are copied, NULL stands for
- * the product's own interface. Start them by fk_start_services. */
+/* Registers all services of a node on KERNEL; start them with fk_start_services. SETTINGS and
+ * ADAPTER are copied; without an ADAPTER (NULL) the node uses its built-in one, for Consul. */
 void fn_register_node (fk_kernel_t *kernel, const fc_settings_t *settings,
                        const fn_adapter_t *adapter);
 
-/* Starts a graceful shutdown that ends by fk_quit; further calls do nothing. */
+/* Starts a graceful shutdown that ends with fk_quit; further calls have no effect. */
 void fn_begin_drain (fk_kernel_t *kernel);
 
 #endif
--- a/packages/node/source/node-dialect.c
+++ b/packages/node/source/node-dialect.c
@@ -1,4 +1,4 @@
-/* The headers of the product's own interface. */
+/* Dialect of the built-in adapter. */
 #include "node-services.h"
 
 const fn_dialect_t fn_default_dialect = {
--- a/packages/node/source/node-services.h
+++ b/packages/node/source/node-services.h
@@ -1,4 +1,4 @@
-/* Names of the node's services and what they offer each other. */
+/* Names of the node's services, and the functions they offer each other. */
 #ifndef FOXTAILRUN_NODE_SERVICES_H
 #define FOXTAILRUN_NODE_SERVICES_H
 
@@ -20,30 +20,29 @@
 #define FN_CALLS "calls"
 #define FN_ENTRY "entry"
 #define FN_REQUEST "request" /* log lines of callers' requests */
-#define FN_SERVED "served"   /* log lines of calls at the node beside the backend server */
+#define FN_SERVED "served"   /* log lines of calls that the backend service received */
 
-/* Log lines of each outcome in 10 s; a line costs about as much processor time as a call's
- * head. */
+/* Limit of log lines of each outcome of calls in 10 s; a line costs about as much
+ * CPU time as processing the head of a call. */
 #define FN_CALL_LOG_LINES_MAX 100
 #define FN_BURN "burn"
 #define FN_ADMIN "admin"
 #define FN_DRAIN "drain"
 #define FN_READY "ready"
 
-/* Time after the start of a drain in which callers are still served and tickets are still
- * honoured. */
+/* Time after the start of a drain in which callers' requests and tickets are still accepted. */
 #define FN_DRAIN_GRACE (3 * FB_SECOND)
 
 /* Returns the settings of the node on KERNEL. */
 const fc_settings_t *fn_get_settings (fk_kernel_t *kernel);
 
-/* Returns the random number drawn when this process started; tickets carry it. */
+/* Returns the random id of this process, drawn at its start; tickets contain it. */
 uint64_t fn_get_start_id (fk_kernel_t *kernel);
 
-/* Returns the adapter that the node was registered with, or the product's own. */
+/* Returns the adapter that the node was registered with, or the built-in one. */
 const fn_adapter_t *fn_get_adapter (fk_kernel_t *kernel);
 
-/* The headers of the product's own interface. */
+/* Dialect of the built-in adapter. */
 extern const fn_dialect_t fn_default_dialect;
 
 void fn_register_settings (fk_kernel_t *kernel, const fc_settings_t *settings,
@@ -58,21 +57,22 @@
 /* Returns the member table, owned by the service. */
 fm_table_t *fn_get_members (fn_membership_t *membership);
 
-/* Calls CHANGED for each later change of a member; only before the services start. */
+/* Calls CHANGED with USER on each change of a member; register before the services start. */
 void fn_watch_members (fn_membership_t *membership, fn_member_changed_fn_t changed, void *user);
 
-/* directory: the endpoints that calls may go to, from the membership or from the platform. */
+/* directory: the endpoints that calls can be sent to, from the membership or the platform. */
 typedef struct fn_directory fn_directory_t;
 
 void fn_register_directory (fk_kernel_t *kernel);
 
-/* Returns the endpoint called ID, or NULL; owned by the directory until it changes. */
+/* Returns the endpoint called ID, or NULL; owned by the directory and valid until the next
+ * change. */
 const fw_member_t *fn_find_endpoint (fn_directory_t *directory, const fb_name_t *id);
 
 /* Returns the number of endpoints. */
 size_t fn_count_endpoints (const fn_directory_t *directory);
 
-/* Calls CHANGED for each later change of an endpoint; only before the services start. */
+/* Calls CHANGED with USER on each change of an endpoint; register before the services start. */
 void fn_watch_endpoints (fn_directory_t *directory, fn_member_changed_fn_t changed, void *user);
 
 /* distribution: the configuration in force. */
@@ -80,122 +80,129 @@
 
 void fn_register_distribution (fk_kernel_t *kernel);
 
-/* Returns the snapshot in force or NULL; retain it to keep it. */
+/* Returns the snapshot in force, or NULL; borrowed, retain it to keep it. */
 fc_snapshot_t *fn_get_snapshot (fn_distribution_t *distribution);
 
-/* Returns the version in force. */
+/* Returns the version in force; its number is 0 if there is none. */
 const fb_version_t *fn_get_version (fn_distribution_t *distribution);
 
-/* Returns whether calls may be taken; notices a pause of the process first. */
+/* Returns whether the node accepts calls. An overdue tick runs first, so that a pause of the
+ * process is detected. */
 bool fn_is_ready (fn_distribution_t *distribution);
 
-/* Returns whether this node reads the source. */
+/* Returns whether this node is one of those that read the source. */
 bool fn_is_reader (fn_distribution_t *distribution);
 
-/* Returns the last refused version and its first problem as text, or NULL. */
+/* Returns the last refused version with its first problem as text, or NULL if none was refused
+ * since the version in force was applied. */
 const char *fn_get_refusal (fn_distribution_t *distribution);
 
-/* A summary heard by the membership. */
+/* Handles the VERSION that SENDER has in force, received by the membership protocol. */
 void fn_handle_summary (fn_distribution_t *distribution, const fw_member_t *sender,
                         const fb_version_t *version);
 
-/* The member lists of this node and PEER differ: asks PEER for its list. */
+/* Requests the member list of PEER, which differs from this node's. */
 void fn_handle_divergence (fn_distribution_t *distribution, const fw_member_t *peer);
 
-/* Registers the product's own source: the configuration service and host list in Consul's
- * protocols. */
+/* Registers the built-in source: configuration and host list by Consul's HTTP API. USER is not
+ * used. */
 void fn_register_source (fk_kernel_t *kernel, void *user);
 
-/* Path on the port of calls at which other nodes ask for news of the store. */
+/* Path of feed requests from other nodes, on the call port. */
 #define FN_FEED_PATH "/news"
 
-/* Takes over REQUEST, another node's ask for news of the store. */
+/* Handles a feed request of another node; REQUEST is answered now or later. */
 void fn_handle_feed_request (fk_kernel_t *kernel, fh_request_t *request);
 
-/* backend: calls at the node beside the backend server. */
+/* backend: admits calls to the backend server on this node's host and runs them there. */
 typedef struct fn_backend fn_backend_t;
 
-/* Receives the one answer to a call; ANSWER is borrowed and its id is not set. */
+/* Receives the answer to a call; ANSWER is borrowed and its id is not set. */
 typedef void (*fn_answered_fn_t) (const fw_call_t *answer, void *user);
 
 void fn_register_backend (fk_kernel_t *kernel);
 
-/* Takes CALL, copying it, and calls ANSWERED with USER once, now or later. Returns a handle for
- * fn_cancel_call, 0 when it is already answered. */
+/* Runs or refuses CALL, which is copied. ANSWERED is called once with USER, now or later,
+ * unless the call is cancelled. Returns a handle for fn_cancel_call, or 0 if ANSWERED was
+ * already called. */
 uint64_t fn_serve_call (fn_backend_t *backend, const fw_call_t *call, fn_answered_fn_t answered,
                         void *user);
 
-/* Gives up a call: it is not answered any more. */
+/* Cancels a call: its answer is not delivered. A running call with a ticket still completes. */
 void fn_cancel_call (fn_backend_t *backend, uint64_t handle);
 
-/* Returns whether the backend server makes the call REQUEST_ID on behalf of a call that it runs
- * as a repeat; the id of such a call is that of its parent, a dot and a number. */
+/* Returns whether REQUEST_ID is a call that the backend server makes on behalf of a call that
+ * it runs as a retry. The id of such a call is the id of its parent, a dot and a number. */
 bool fn_is_parent_repeat (fn_backend_t *backend, fb_str_t request_id);
 
-/* Returns calls not yet answered. */
+/* Returns the number of calls that are not answered yet. */
 size_t fn_count_backend_calls (fn_backend_t *backend);
 
-/* From now on refuses calls without a ticket; with FINAL, all. */
+/* From now on refuses new calls without a ticket; if FINAL, all new calls. */
 void fn_drain_backend (fn_backend_t *backend, bool final);
 
-/* Stands in place of the ticket in a call whose route needs one that the caller did not bring:
- * the node asked issues it. */
+/* Ticket field of a call that has no ticket although its route needs one: the node that
+ * receives the call issues a ticket. */
 #define FN_TICKET_REQUEST FB_LITERAL ("new")
 
-/* calls: between the entry nodes and the nodes beside backend servers. */
+/* calls: sends calls from the entry to the nodes on the backend servers' hosts, and receives
+ * those of other nodes. */
 typedef struct fn_calls fn_calls_t;
 
 void fn_register_calls (fk_kernel_t *kernel);
 
-/* Sends CALL to NODE; its id comes back later, by one of the entry's functions below. */
+/* Sends CALL to NODE. The result is reported later for the id of CALL: by fn_end_attempt,
+ * fn_fail_unsent or fn_fail_unanswered. */
 void fn_send_call (fn_calls_t *calls, const fw_member_t *node, const fw_call_t *call);
 
-/* Gives up call ID: it does not come back, and the node that serves it is told. */
+/* Cancels call ID, also at the node that serves it; no result is reported. */
 void fn_cancel_sent_call (fn_calls_t *calls, uint64_t id);
 
-/* entry: calls from callers, routed to a node beside a backend server. */
+/* entry: receives callers' requests and routes them to the nodes on backend servers' hosts. */
 typedef struct fn_entry fn_entry_t;
 
 void fn_register_entry (fk_kernel_t *kernel);
 
-/* From now on each answer ends its caller's connection. */
+/* Closes each caller's connection after the next response on it. */
 void fn_disable_keep_alive (fn_entry_t *entry);
 
-/* Stops taking callers' connections and refuses requests on those that are open. */
+/* Stops accepting connections of callers and refuses requests on those that are open. */
 void fn_close_entry (fn_entry_t *entry);
 
-/* Returns calls of callers not yet answered. */
+/* Returns the number of callers' calls that are not answered yet. */
 size_t fn_count_entry_calls (fn_entry_t *entry);
 
-/* An answer came for attempt ANSWER->id; unknown ids are counted and dropped. */
+/* Ends attempt ANSWER->id with ANSWER; answers with an unknown id are counted and dropped. */
 void fn_end_attempt (fn_entry_t *entry, const fw_call_t *answer);
 
-/* Attempt ID provably never left this node. */
+/* Fails attempt ID, of which provably nothing was sent to the other node. */
 void fn_fail_unsent (fn_entry_t *entry, uint64_t id);
 
-/* Attempt ID was sent and has no whole answer, for REASON: its outcome is unknown. */
+/* Fails attempt ID, which was sent but has no complete answer, with REASON: its outcome is
+ * unknown. */
 void fn_fail_unanswered (fn_entry_t *entry, uint64_t id, const char *reason);
 
-/* Keeps new attempts from INSTANCE until TIME while there are others. */
+/* Sends new attempts to other instances than INSTANCE until TIME, as long as there are any. */
 void fn_avoid_instance (fn_entry_t *entry, const fb_name_t *instance, fb_time_t time);
 
-/* Describes instance state of SERVICE for the administration. */
+/* Returns the number of instances of SERVICE that calls can be sent to, ejected ones included.
+ */
 size_t fn_count_instances (fn_entry_t *entry, fb_str_t service);
 
-/* burn: how fast callers' calls use up the budgets of the objectives. */
+/* burn: burn rates of the objectives' error budgets by callers' calls. */
 typedef struct fn_burn fn_burn_t;
 
 void fn_register_burn (fk_kernel_t *kernel);
 
-/* Counts a call on ROUTE of SNAPSHOT that came at START and is now answered by ANSWER. */
+/* Counts a call on ROUTE of SNAPSHOT that arrived at START and is now answered with ANSWER. */
 void fn_count_burn (fn_burn_t *burn, const fc_snapshot_t *snapshot, const fc_route_t *route,
                     const fw_call_t *answer, fb_time_t start);
 
-/* Counts a call on ROUTE of SNAPSHOT that is refused on arrival; either may be NULL, then there
- * is no objective to count it under. */
+/* Counts a call on ROUTE of SNAPSHOT that is refused on arrival. Without a route or snapshot
+ * (NULL) no objective applies and nothing is counted. */
 void fn_count_refusal (fn_burn_t *burn, const fc_snapshot_t *snapshot, const fc_route_t *route);
 
-/* Returns the counts of this node as a new object. */
+/* Returns the counts of this node as a new JSON object, owned by the caller. */
 json_t *fn_describe_burn (fn_burn_t *burn);
 
 void fn_register_admin (fk_kernel_t *kernel);
