--- a/packages/node/source/node-backend-ticket.c
+++ b/packages/node/source/node-backend-ticket.c
@@ -1,21 +1,20 @@
-/* Tickets at the node beside the backend server: first use, repeats, refusals and recorded
- * answers. */
+/* Tickets of calls to the backend server: first use, retries, refusals and recorded answers. */
 #include "node-backend.h"
 #include <string.h>
 
-/* Answers every call that waits for the same ticket as ENDED. */
+/* Answers the calls that joined FINISHED, which has the same ticket. */
 static void
-answer_joined (fn_backend_call_t *ended, const fw_call_t *answer)
+answer_joined (fn_backend_call_t *finished, const fw_call_t *answer)
 {
   GPtrArray *joined = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, ended->backend->calls);
+  g_hash_table_iter_init (&iter, finished->backend->calls);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       fn_backend_call_t *other = value;
-      if (other->state == FN_CALL_JOINED && other->ticket.serial == ended->ticket.serial)
+      if (other->state == FN_CALL_JOINED && other->ticket.serial == finished->ticket.serial)
         g_ptr_array_add (joined, other);
     }
   for (guint i = 0; i < joined->len; i++)
@@ -26,25 +25,25 @@
   g_ptr_array_free (joined, TRUE);
 }
 
-/* Records the end of a call that runs at most once. */
+/* Records the outcome of a call with a ticket. */
 static void
-record_end (fn_backend_call_t *served, const fw_call_t *answer)
+record_outcome (fn_backend_call_t *backend_call, const fw_call_t *answer)
 {
-  fr_once_t *once = served->backend->once;
+  fr_once_t *once = backend_call->backend->once;
   GByteArray *packed;
 
   if (answer->outcome == FW_NOT_RUN)
     {
-      fr_abandon_once (once, &served->ticket);
+      fr_abandon_once (once, &backend_call->ticket);
       return;
     }
   if (answer->outcome != FW_ANSWERED)
     {
-      fr_end_once (once, &served->ticket, (fb_bytes_t){ NULL, 0 });
+      fr_end_once (once, &backend_call->ticket, (fb_bytes_t){ NULL, 0 });
       return;
     }
   packed = fw_pack_call (answer);
-  fr_end_once (once, &served->ticket, (fb_bytes_t){ packed->data, packed->len });
+  fr_end_once (once, &backend_call->ticket, (fb_bytes_t){ packed->data, packed->len });
   g_byte_array_free (packed, TRUE);
 }
 
@@ -57,59 +56,61 @@
   return fb_hash_str ((fb_str_t){ (const char *)call->body.data, call->body.len }, digest);
 }
 
-/* Answers a call with a ticket from what is known of the ticket's use. */
+/* Answers a call by the STATE of its ticket; joins it to the earlier call if that one is still
+ * running. RECORDED is the answer of the earlier call, REFUSAL the reason to give if the ticket
+ * was refused. */
 static void
-answer_known (fn_backend_call_t *served, fr_once_state_t state, fb_bytes_t recorded,
-              const char *refusal)
+answer_from_state (fn_backend_call_t *backend_call, fr_once_state_t state, fb_bytes_t recorded,
+                   const char *refusal)
 {
   fw_call_t answer = { 0 };
 
   switch (state)
     {
     case FR_ONCE_RUNNING:
-      served->state = FN_CALL_JOINED;
+      backend_call->state = FN_CALL_JOINED;
       return;
     case FR_ONCE_ANSWERED:
-      fb_add_counter (served->backend->replayed, 1);
+      fb_add_counter (backend_call->backend->replayed, 1);
       if (fw_unpack_call (recorded, &answer) == FB_OK)
-        fn_answer_backend_call (served, &answer);
+        fn_answer_backend_call (backend_call, &answer);
       else
-        fn_answer_outcome (served, FW_UNKNOWN, 504, "recorded answer is not readable");
+        fn_answer_outcome (backend_call, FW_UNKNOWN, 504, "recorded answer cannot be decoded");
       return;
     case FR_ONCE_REFUSED:
-      fn_answer_outcome (served, FW_NOT_RUN, 503, refusal);
+      fn_answer_outcome (backend_call, FW_NOT_RUN, 503, refusal);
       return;
     case FR_ONCE_INVALID:
-      fn_answer_outcome (served, FW_NOT_RUN, 422, "ticket was not issued");
+      fn_answer_outcome (backend_call, FW_NOT_RUN, 422, "ticket was not issued");
       return;
     case FR_ONCE_MISMATCH:
-      fn_answer_outcome (served, FW_UNKNOWN, 422, "ticket was used for another request");
+      fn_answer_outcome (backend_call, FW_UNKNOWN, 422, "ticket was used for another request");
       return;
     default:
-      fn_answer_outcome (served, FW_UNKNOWN, 504,
-                         "ticket may have run, its answer is not held");
+      fn_answer_outcome (backend_call, FW_UNKNOWN, 504,
+                         "request with this ticket may have run, no answer is recorded");
       return;
     }
 }
 
 void
-fn_refuse_backend_call (fn_backend_call_t *served, uint32_t status, const char *reason)
+fn_refuse_backend_call (fn_backend_call_t *backend_call, uint32_t status, const char *reason)
 {
   fb_bytes_t recorded;
   fr_once_state_t state;
 
-  if (!served->has_ticket)
+  if (!backend_call->has_ticket)
     {
-      fn_refuse_for_retry_elsewhere (served, status, reason);
+      fn_refuse_for_retry_elsewhere (backend_call, status, reason);
       return;
     }
-  state = fr_refuse_once (served->backend->once, &served->ticket,
-                          digest_request (&served->call), &recorded);
-  answer_known (served, state, recorded, reason);
+  state = fr_refuse_once (backend_call->backend->once, &backend_call->ticket,
+                          digest_request (&backend_call->call), &recorded);
+  answer_from_state (backend_call, state, recorded, reason);
 }
 
 void
-fn_send_ticket (fn_backend_call_t *served)
+fn_send_ticket (fn_backend_call_t *backend_call)
 {
   char ticket[FR_TICKET_MAX];
   fw_call_t answer = { .outcome = FW_NOT_RUN,
@@ -117,27 +118,27 @@
                        .reason = FB_LITERAL ("repeat the request with the ticket"),
                        .header_count = 1 };
 
-  fr_issue_ticket (served->backend->once, ticket);
+  fr_issue_ticket (backend_call->backend->once, ticket);
   answer.headers[0] = (fw_header_t){ FB_LITERAL ("foxtailrun-ticket"), fb_wrap_text (ticket) };
-  fn_answer_backend_call (served, &answer);
+  fn_answer_backend_call (backend_call, &answer);
 }
 
 bool
-fn_begin_ticket (fn_backend_call_t *served)
+fn_begin_ticket (fn_backend_call_t *backend_call)
 {
   fb_bytes_t recorded;
-  fr_once_state_t state = fr_begin_once (served->backend->once, &served->ticket,
-                                         digest_request (&served->call), &recorded);
+  fr_once_state_t state = fr_begin_once (backend_call->backend->once, &backend_call->ticket,
+                                         digest_request (&backend_call->call), &recorded);
 
   if (state == FR_ONCE_RUN)
     return true;
-  answer_known (served, state, recorded, "ticket was refused before");
+  answer_from_state (backend_call, state, recorded, "ticket was refused before");
   return false;
 }
 
 void
-fn_end_ticket (fn_backend_call_t *served, const fw_call_t *answer)
+fn_end_ticket (fn_backend_call_t *backend_call, const fw_call_t *answer)
 {
-  record_end (served, answer);
-  answer_joined (served, answer);
+  record_outcome (backend_call, answer);
+  answer_joined (backend_call, answer);
 }
--- a/packages/node/source/node-backend.c
+++ b/packages/node/source/node-backend.c
@@ -5,129 +5,132 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Precision of deadlines in the queue; a tick costs a wake-up of the process. */
+/* Precision of deadlines in the queue; each tick wakes up the process. */
 #define TICK_PERIOD (10 * FB_MILLISECOND)
 
-/* Bound on waiting for the backend server without any data; frees the slot of a silent
- * connection when no deadline does, as for calls that run at most once. */
+/* Limit of each wait for data from the backend server. It frees the slots of calls that no
+ * deadline cancels, such as those with a ticket, when the connection is stalled. */
 #define BACKEND_IO_TIMEOUT (30 * FB_SECOND)
 
-/* Longest time that a call may have left, in us; bounds what another node claims. */
-#define TIME_MAX_US 3600000000U
+/* Limit of the remaining time that another node may send with a call. */
+#define REMAINING_TIME_MAX_US 3600000000U
 
 #define IDLE_CONNECTIONS_MAX 32
 
-/* Time in which the backend server on the same host must take a connection. */
+/* Timeout of connecting to the backend server, which is on the same host. */
 #define CONNECT_TIMEOUT (250 * FB_MILLISECOND)
 
-/* Time after a failed connection in which further calls are refused at once; then one is tried
- * again. */
-#define AVOID_TIME (250 * FB_MILLISECOND)
+/* Time after a failed connection in which calls are refused without another attempt to connect.
+ */
+#define RECONNECT_DELAY (250 * FB_MILLISECOND)
 
-/* Bounds of the records of calls that run at most once. */
+/* Limits of the at-most-once records. */
 #define ONCE_RECORDS_MAX 20000
 #define ONCE_BYTES_MAX (8 * 1024 * 1024)
 
 static void
-free_served (void *data)
+free_call (void *data)
 {
-  fn_backend_call_t *served = data;
+  fn_backend_call_t *backend_call = data;
 
-  g_free (served->header);
-  g_free (served->body);
-  g_free (served);
+  g_free (backend_call->header);
+  g_free (backend_call->body);
+  g_free (backend_call);
 }
 
-/* Returns the index of the call's rank; the least urgent when the snapshot does not know it. */
+/* Returns the index of the call's rank, or of the least urgent rank if the snapshot does not
+ * have it. */
 static uint32_t
-find_rank (const fn_backend_call_t *served)
+find_rank (const fn_backend_call_t *backend_call)
 {
   const fc_snapshot_t *snapshot
-      = fn_get_snapshot (fk_find_service (served->backend->kernel, FN_DISTRIBUTION));
+      = fn_get_snapshot (fk_find_service (backend_call->backend->kernel, FN_DISTRIBUTION));
   uint32_t rank = snapshot ? (uint32_t)fc_count_ranks (snapshot) - 1 : 0;
 
   if (snapshot)
-    fc_find_rank (snapshot, served->call.rank, &rank);
+    fc_find_rank (snapshot, backend_call->call.rank, &rank);
   return rank;
 }
 
-/* Writes why a call ended without the backend server's answer. */
+/* Logs why a call ended without an answer of the backend server. */
 static void
-log_served (const fn_backend_call_t *served, const fw_call_t *answer)
+log_unanswered (const fn_backend_call_t *backend_call, const fw_call_t *answer)
 {
-  fn_backend_t *backend = served->backend;
+  fn_backend_t *backend = backend_call->backend;
   fb_time_t now = fb_read_clock (fk_get_clock (backend->kernel));
 
   FB_LOG (fk_get_log (backend->kernel), FB_LOG_INFO, FN_SERVED,
-          fw_describe_outcome (answer->outcome), FB_STR ("id", served->call.request_id),
+          fw_describe_outcome (answer->outcome), FB_STR ("id", backend_call->call.request_id),
           FB_STR ("reason", answer->reason), FB_TEXT ("instance", backend->local.instance.data),
-          FB_STR ("rank", served->call.rank),
-          FB_NUMBER ("running", served->state == FN_CALL_RUNNING),
-          FB_NUMBER ("left_ms", (served->deadline - now) / FB_MILLISECOND),
-          FB_NUMBER ("target_left_ms", (served->target_time - now) / FB_MILLISECOND),
+          FB_STR ("rank", backend_call->call.rank),
+          FB_NUMBER ("running", backend_call->state == FN_CALL_RUNNING),
+          FB_NUMBER ("left_ms", (backend_call->deadline - now) / FB_MILLISECOND),
+          FB_NUMBER ("target_left_ms", (backend_call->target_time - now) / FB_MILLISECOND),
           FB_NUMBER ("started", fr_count_started (backend->admission)),
           FB_NUMBER ("waiting", fr_count_waiting (backend->admission)),
           FB_NUMBER ("wait_ms", answer->wait_us / 1000));
 }
 
 void
-fn_answer_backend_call (fn_backend_call_t *served, fw_call_t *answer)
+fn_answer_backend_call (fn_backend_call_t *backend_call, fw_call_t *answer)
 {
-  fn_backend_t *backend = served->backend;
+  fn_backend_t *backend = backend_call->backend;
 
   answer->kind = FW_ANSWER;
   answer->load = fr_get_load (backend->admission);
-  answer->wait_us = (uint64_t)(fr_get_expected_wait (backend->admission, find_rank (served))
-                               / FB_MICROSECOND);
+  answer->wait_us
+      = (uint64_t)(fr_get_expected_wait (backend->admission, find_rank (backend_call))
+                   / FB_MICROSECOND);
   if (answer->outcome != FW_ANSWERED)
-    log_served (served, answer);
-  if (served->answered)
-    served->answered (answer, served->user);
-  g_hash_table_remove (backend->calls, &served->handle);
+    log_unanswered (backend_call, answer);
+  if (backend_call->answered)
+    backend_call->answered (answer, backend_call->user);
+  g_hash_table_remove (backend->calls, &backend_call->handle);
 }
 
 void
-fn_answer_outcome (fn_backend_call_t *served, fw_outcome_t outcome, uint32_t status,
+fn_answer_outcome (fn_backend_call_t *backend_call, fw_outcome_t outcome, uint32_t status,
                    const char *reason)
 {
   fw_call_t answer = { .outcome = outcome, .status = status, .reason = fb_wrap_text (reason) };
 
   if (outcome == FW_NOT_RUN)
-    fb_add_counter (served->backend->refused, 1);
+    fb_add_counter (backend_call->backend->refused, 1);
   else if (outcome == FW_UNKNOWN)
-    fb_add_counter (served->backend->unknown, 1);
-  fn_answer_backend_call (served, &answer);
+    fb_add_counter (backend_call->backend->unknown, 1);
+  fn_answer_backend_call (backend_call, &answer);
 }
 
 void
-fn_refuse_for_retry_elsewhere (fn_backend_call_t *served, uint32_t status, const char *reason)
+fn_refuse_for_retry_elsewhere (fn_backend_call_t *backend_call, uint32_t status,
+                               const char *reason)
 {
   fw_call_t answer = { .outcome = FW_NOT_RUN,
                        .status = status,
                        .reason = fb_wrap_text (reason),
                        .retry_elsewhere = true };
 
-  fb_add_counter (served->backend->refused, 1);
-  fn_answer_backend_call (served, &answer);
+  fb_add_counter (backend_call->backend->refused, 1);
+  fn_answer_backend_call (backend_call, &answer);
 }
 
 static void
-end_running (fn_backend_call_t *served, fw_call_t *answer)
+finish_running (fn_backend_call_t *backend_call, fw_call_t *answer)
 {
-  fn_backend_t *backend = served->backend;
-  fb_time_t service = fb_read_clock (fk_get_clock (backend->kernel)) - served->started_at;
+  fn_backend_t *backend = backend_call->backend;
+  fb_time_t service = fb_read_clock (fk_get_clock (backend->kernel)) - backend_call->started_at;
 
-  served->exchange = NULL;
+  backend_call->exchange = NULL;
   answer->kind = FW_ANSWER;
   answer->reached_backend = !answer->retry_elsewhere;
   answer->service_us = (uint64_t)(service / FB_MICROSECOND);
-  fb_observe_time (backend->services, service);
+  fb_observe_time (backend->service_times, service);
   if (answer->outcome == FW_UNKNOWN)
     fb_add_counter (backend->unknown, 1);
-  if (served->has_ticket)
-    fn_end_ticket (served, answer);
-  fr_finish_call (backend->admission, served->handle);
-  fn_answer_backend_call (served, answer);
+  if (backend_call->has_ticket)
+    fn_end_ticket (backend_call, answer);
+  fr_finish_call (backend->admission, backend_call->handle);
+  fn_answer_backend_call (backend_call, answer);
 }
 
 static void
@@ -141,9 +144,9 @@
     }
 }
 
-/* Returns whether the backend server says that it has not run the request. */
+/* Returns whether the backend server reports that it has not run the request. */
 static bool
-is_not_run (fn_backend_t *backend, const fh_response_t *response)
+reports_not_run (fn_backend_t *backend, const fh_response_t *response)
 {
   const fn_dialect_t *dialect = fn_get_adapter (backend->kernel)->dialect;
 
@@ -152,22 +155,22 @@
 }
 
 static void
-avoid_server (fn_backend_t *backend)
+record_connect_failure (fn_backend_t *backend)
 {
-  backend->avoid_until = fb_read_clock (fk_get_clock (backend->kernel)) + AVOID_TIME;
+  backend->refuse_until = fb_read_clock (fk_get_clock (backend->kernel)) + RECONNECT_DELAY;
   FB_LOG (fk_get_log (backend->kernel), FB_LOG_WARNING, FN_BACKEND,
           "no connection to the backend server",
           FB_TEXT ("instance", backend->local.instance.data),
-          FB_NUMBER ("refusing_ms", AVOID_TIME / FB_MILLISECOND));
+          FB_NUMBER ("refusing_ms", RECONNECT_DELAY / FB_MILLISECOND));
 }
 
 static void
 end_exchange (const fh_response_t *response, void *user)
 {
-  fn_backend_call_t *served = user;
+  fn_backend_call_t *backend_call = user;
   fw_call_t answer = { .status = 502, .reason = fb_wrap_text (response->error) };
 
-  if (response->result == FH_ANSWERED && is_not_run (served->backend, response))
+  if (response->result == FH_ANSWERED && reports_not_run (backend_call->backend, response))
     {
       answer.outcome = FW_NOT_RUN;
       answer.status = 503;
@@ -186,46 +189,51 @@
       answer.outcome = FW_NOT_RUN;
       answer.status = 503;
       answer.retry_elsewhere = true;
-      avoid_server (served->backend);
+      record_connect_failure (backend_call->backend);
     }
   else
-    answer.outcome = served->has_ticket || served->call.at_most_once ? FW_UNKNOWN : FW_FAILED;
-  end_running (served, &answer);
+    answer.outcome
+        = backend_call->has_ticket || backend_call->call.at_most_once ? FW_UNKNOWN : FW_FAILED;
+  finish_running (backend_call, &answer);
 }
 
 static void
-send_to_backend (fn_backend_call_t *served)
+send_to_backend (fn_backend_call_t *backend_call)
 {
-  fn_backend_t *backend = served->backend;
+  fn_backend_t *backend = backend_call->backend;
   fb_time_t now = fb_read_clock (fk_get_clock (backend->kernel));
   const fn_dialect_t *dialect = fn_get_adapter (backend->kernel)->dialect;
   const fb_name_t *instance = &backend->local.instance;
   fh_header_t headers[FH_HEADERS_MAX + 2];
   fh_client_request_t outgoing
-      = { .method = served->call.method,
-          .host = served->call.host,
-          .path = served->call.path,
+      = { .method = backend_call->call.method,
+          .host = backend_call->call.host,
+          .path = backend_call->call.path,
           .headers = headers,
-          .body = served->call.body,
-          .new_connection = served->has_ticket || served->call.at_most_once,
+          .body = backend_call->call.body,
+          .new_connection = backend_call->has_ticket || backend_call->call.at_most_once,
           .allows_close_delimited = dialect->allows_close_delimited };
-  size_t count = served->call.header_count;
+  size_t count = backend_call->call.header_count;
   char remaining[24];
 
   for (size_t i = 0; i < count; i++)
-    headers[i] = (fh_header_t){ served->call.headers[i].name, served->call.headers[i].value };
-  snprintf (remaining, sizeof remaining, "%" PRId64, (served->deadline - now) / FB_MILLISECOND);
+    headers[i] = (fh_header_t){ backend_call->call.headers[i].name,
+                                backend_call->call.headers[i].value };
+  snprintf (remaining, sizeof remaining, "%" PRId64,
+            (backend_call->deadline - now) / FB_MILLISECOND);
   headers[count++] = (fh_header_t){ dialect->timeout_ms, fb_wrap_text (remaining) };
   if (dialect->instance.len > 0 && instance->len > 0)
     headers[count++] = (fh_header_t){ dialect->instance, fb_get_name (instance) };
   if (dialect->echoes_request_id)
-    outgoing.echoed_header = (fh_header_t){ dialect->request_id, served->call.request_id };
+    outgoing.echoed_header
+        = (fh_header_t){ dialect->request_id, backend_call->call.request_id };
   outgoing.header_count = count;
-  served->started_at = now;
-  fb_observe_time (backend->waits, now - served->arrived_at);
-  served->state = FN_CALL_RUNNING;
+  backend_call->started_at = now;
+  fb_observe_time (backend->wait_times, now - backend_call->arrived_at);
+  backend_call->state = FN_CALL_RUNNING;
   fb_add_counter (backend->started, 1);
-  served->exchange = fh_send_request (backend->client, &outgoing, end_exchange, served);
+  backend_call->exchange
+      = fh_send_request (backend->client, &outgoing, end_exchange, backend_call);
 }
 
 static void
@@ -234,55 +242,56 @@
   send_to_backend (call);
 }
 
-/* Ends a call that waited for a slot in vain, with those that joined it. */
+/* Ends a call that is refused before it got a slot, and those that joined it. */
 static void
 refuse_call (void *call, fr_refusal_t refusal, void *user)
 {
-  fn_backend_call_t *served = call;
+  fn_backend_call_t *backend_call = call;
   fw_call_t answer = { .outcome = FW_NOT_RUN,
                        .status = refusal == FR_REFUSED_FULL ? 429 : 503,
                        .reason = fb_wrap_text (fr_describe_refusal (refusal)),
                        .retry_elsewhere = refusal == FR_REFUSED_CANCELLED };
 
-  fb_add_counter (served->backend->refused, 1);
-  if (served->has_ticket)
-    fn_end_ticket (served, &answer);
-  fn_answer_backend_call (served, &answer);
+  fb_add_counter (backend_call->backend->refused, 1);
+  if (backend_call->has_ticket)
+    fn_end_ticket (backend_call, &answer);
+  fn_answer_backend_call (backend_call, &answer);
 }
 
-/* Takes over the ranks and slots of the snapshot in force when they changed. */
+/* Sets the ranks and slots of SNAPSHOT in the admission, unless they are set already. */
 static void
-update_rules (fn_backend_t *backend, fc_snapshot_t *snapshot)
+configure_admission (fn_backend_t *backend, fc_snapshot_t *snapshot)
 {
-  fr_rank_options_t rules[FC_RANKS_MAX];
+  fr_rank_options_t rank_options[FC_RANKS_MAX];
   const fc_settings_t *settings = fn_get_settings (backend->kernel);
   const fc_service_t *service
       = fc_find_service (snapshot, fb_get_name (&settings->service), NULL);
   size_t count = fc_count_ranks (snapshot);
 
-  if (!service || backend->rules == snapshot)
+  if (!service || backend->admission_snapshot == snapshot)
     return;
-  fc_release_snapshot (backend->rules);
-  backend->rules = fc_retain_snapshot (snapshot);
+  fc_release_snapshot (backend->admission_snapshot);
+  backend->admission_snapshot = fc_retain_snapshot (snapshot);
   for (size_t i = 0; i < count; i++)
     {
       const fc_rank_t *rank = fc_get_rank (snapshot, i);
-      rules[i] = (fr_rank_options_t){ .share = rank->share,
-                                      .latency_target = rank->target_ms * FB_MILLISECOND };
+      rank_options[i]
+          = (fr_rank_options_t){ .share = rank->share,
+                                 .latency_target = rank->target_ms * FB_MILLISECOND };
     }
   fr_configure_admission (backend->admission,
                           backend->local.slots > 0 ? backend->local.slots : service->slots,
-                          rules, count);
+                          rank_options, count);
 }
 
-/* Cancels running calls whose deadline has passed; those with a ticket go on, so that their
- * answer can be recorded. */
+/* Cancels running calls whose deadline has passed, except those with a ticket: their answer is
+ * to be recorded. */
 static void
 tick_backend (void *user)
 {
   fn_backend_t *backend = user;
   fb_time_t now = fb_read_clock (fk_get_clock (backend->kernel));
-  GPtrArray *late = g_ptr_array_new ();
+  GPtrArray *expired = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer value;
 
@@ -290,27 +299,28 @@
   g_hash_table_iter_init (&iter, backend->calls);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      fn_backend_call_t *served = value;
-      if (served->state == FN_CALL_RUNNING && !served->has_ticket && now >= served->deadline)
-        g_ptr_array_add (late, served);
+      fn_backend_call_t *backend_call = value;
+      if (backend_call->state == FN_CALL_RUNNING && !backend_call->has_ticket
+          && now >= backend_call->deadline)
+        g_ptr_array_add (expired, backend_call);
     }
-  for (guint i = 0; i < late->len; i++)
+  for (guint i = 0; i < expired->len; i++)
     {
-      fn_backend_call_t *served = g_ptr_array_index (late, i);
-      fw_call_t answer = { .outcome = served->call.at_most_once ? FW_UNKNOWN : FW_FAILED,
+      fn_backend_call_t *backend_call = g_ptr_array_index (expired, i);
+      fw_call_t answer = { .outcome = backend_call->call.at_most_once ? FW_UNKNOWN : FW_FAILED,
                            .status = 504,
                            .reason = FB_LITERAL ("deadline passed at the backend server") };
-      fh_cancel_exchange (served->exchange);
-      end_running (served, &answer);
+      fh_cancel_exchange (backend_call->exchange);
+      finish_running (backend_call, &answer);
     }
-  g_ptr_array_free (late, TRUE);
+  g_ptr_array_free (expired, TRUE);
   if (g_hash_table_size (backend->calls) == 0)
-    fk_pause_timer (backend->tick);
+    fk_pause_timer (backend->tick_timer);
 }
 
-/* Returns why CALL cannot be taken, or NULL. */
+/* Returns why CALL is refused, or NULL if it is accepted. */
 static const char *
-find_obstacle (fn_backend_t *backend, const fw_call_t *call)
+find_refusal_reason (fn_backend_t *backend, const fw_call_t *call)
 {
   fn_distribution_t *distribution = fk_find_service (backend->kernel, FN_DISTRIBUTION);
   const fc_settings_t *settings = fn_get_settings (backend->kernel);
@@ -322,12 +332,12 @@
   if (!backend->client || !snapshot
       || !fb_equal_str (call->service, fb_get_name (&settings->service))
       || !fc_find_service (snapshot, call->service, NULL))
-    return "service is not served here";
+    return "service is not served by this node";
   if (fn_get_adapter (backend->kernel)->source_lists_endpoints
       && (backend->local.instance.len == 0 || backend->local.leaving))
-    return "backend server is leaving or gone";
-  if (fb_read_clock (fk_get_clock (backend->kernel)) < backend->avoid_until)
-    return "backend server takes no connections";
+    return "backend server is leaving or not listed";
+  if (fb_read_clock (fk_get_clock (backend->kernel)) < backend->refuse_until)
+    return "backend server does not accept connections";
   if (backend->closed || (backend->draining && call->ticket.len == 0))
     return "draining";
   return NULL;
@@ -344,44 +354,47 @@
 }
 
 static fn_backend_call_t *
-copy_call (fn_backend_t *backend, const fw_call_t *call)
+create_call (fn_backend_t *backend, const fw_call_t *call)
 {
-  fn_backend_call_t *served = g_new0 (fn_backend_call_t, 1);
+  fn_backend_call_t *backend_call = g_new0 (fn_backend_call_t, 1);
   fb_time_t now;
   size_t length;
 
-  served->backend = backend;
-  served->handle = ++backend->last_handle;
-  served->header = fw_encode_call (call, &length);
-  served->body = g_memdup2 (call->body.data, call->body.len);
-  FB_INVARIANT (fw_decode_call ((fb_bytes_t){ served->header, length },
-                                (fb_bytes_t){ served->body, call->body.len }, &served->call)
+  backend_call->backend = backend;
+  backend_call->handle = ++backend->last_handle;
+  backend_call->header = fw_encode_call (call, &length);
+  backend_call->body = g_memdup2 (call->body.data, call->body.len);
+  FB_INVARIANT (fw_decode_call ((fb_bytes_t){ backend_call->header, length },
+                                (fb_bytes_t){ backend_call->body, call->body.len },
+                                &backend_call->call)
                 == FB_OK);
   now = fb_read_clock (fk_get_clock (backend->kernel));
-  served->arrived_at = now;
-  served->deadline = now + (fb_time_t)MIN (call->remaining_us, TIME_MAX_US) * FB_MICROSECOND;
-  served->target_time
-      = now + (fb_time_t)MIN (call->target_left_us, TIME_MAX_US) * FB_MICROSECOND;
-  return served;
+  backend_call->arrived_at = now;
+  backend_call->deadline
+      = now + (fb_time_t)MIN (call->remaining_us, REMAINING_TIME_MAX_US) * FB_MICROSECOND;
+  backend_call->target_time
+      = now + (fb_time_t)MIN (call->target_left_us, REMAINING_TIME_MAX_US) * FB_MICROSECOND;
+  return backend_call;
 }
 
-/* Queues SERVED for a slot. A ticket is recorded as running from here on, so that a copy of the
- * request joins this one instead of taking a slot. */
+/* Queues a call for a slot. From here on its ticket is recorded as running, so that a copy of
+ * the request joins this call and needs no slot. */
 static void
-offer_served (fn_backend_call_t *served)
+enqueue_call (fn_backend_call_t *backend_call)
 {
-  fn_backend_t *backend = served->backend;
+  fn_backend_t *backend = backend_call->backend;
   fc_snapshot_t *snapshot
       = fn_get_snapshot (fk_find_service (backend->kernel, FN_DISTRIBUTION));
-  fr_call_times_t times
-      = { served->deadline, served->target_time, served->call.is_caller_retry };
+  fr_call_times_t times = { backend_call->deadline, backend_call->target_time,
+                            backend_call->call.is_caller_retry };
 
-  if (served->has_ticket && !fn_begin_ticket (served))
+  if (backend_call->has_ticket && !fn_begin_ticket (backend_call))
     return;
-  update_rules (backend, snapshot);
-  fr_offer_call_with_times (backend->admission, served->handle, served, find_rank (served),
-                            served->call.customer,
-                            fc_get_customer_weight (snapshot, served->call.customer), &times);
+  configure_admission (backend, snapshot);
+  fr_offer_call_with_times (backend->admission, backend_call->handle, backend_call,
+                            find_rank (backend_call), backend_call->call.customer,
+                            fc_get_customer_weight (snapshot, backend_call->call.customer),
+                            &times);
 }
 
 static fb_status_t
@@ -396,7 +409,7 @@
                             IDLE_CONNECTIONS_MAX, FW_ANSWER_BODY_MAX, BACKEND_IO_TIMEOUT);
   if (backend->client)
     fh_set_connect_timeout (backend->client, CONNECT_TIMEOUT);
-  backend->tick = fk_create_timer (kernel, TICK_PERIOD, tick_backend, backend);
+  backend->tick_timer = fk_create_timer (kernel, TICK_PERIOD, tick_backend, backend);
   return FB_OK;
 }
 
@@ -410,12 +423,12 @@
   g_hash_table_iter_init (&iter, backend->calls);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      fn_backend_call_t *served = value;
-      if (served->exchange)
-        fh_cancel_exchange (served->exchange);
-      served->exchange = NULL;
+      fn_backend_call_t *backend_call = value;
+      if (backend_call->exchange)
+        fh_cancel_exchange (backend_call->exchange);
+      backend_call->exchange = NULL;
     }
-  fk_destroy_timer (backend->tick);
+  fk_destroy_timer (backend->tick_timer);
   fh_destroy_client (backend->client);
   backend->client = NULL;
 }
@@ -427,10 +440,10 @@
 
   fr_destroy_admission (backend->admission);
   fr_destroy_once (backend->once);
-  fc_release_snapshot (backend->rules);
+  fc_release_snapshot (backend->admission_snapshot);
   g_hash_table_destroy (backend->calls);
-  fb_destroy_histogram (backend->waits);
-  fb_destroy_histogram (backend->services);
+  fb_destroy_histogram (backend->wait_times);
+  fb_destroy_histogram (backend->service_times);
   g_free (backend);
 }
 
@@ -438,7 +451,7 @@
 fn_register_backend (fk_kernel_t *kernel)
 {
   static const fk_service_t vtable = { start_backend, stop_backend, destroy_backend };
-  static const fr_rank_options_t rule = { .share = 0, .latency_target = FB_SECOND };
+  static const fr_rank_options_t rank = { .share = 0, .latency_target = FB_SECOND };
   fn_backend_t *backend = g_new0 (fn_backend_t, 1);
   fb_counters_t *counters = fk_get_counters (kernel);
   fr_admission_hooks_t hooks = { start_call, refuse_call, backend };
@@ -447,8 +460,8 @@
   randombytes_buf (secret, sizeof secret);
   backend->kernel = kernel;
   fb_set_log_limit (fk_get_log (kernel), FN_SERVED, FN_CALL_LOG_LINES_MAX);
-  backend->calls = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, free_served);
-  backend->admission = fr_create_admission (FR_POLICY_SHARES, 1, &rule, 1,
+  backend->calls = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, free_call);
+  backend->admission = fr_create_admission (FR_POLICY_SHARES, 1, &rank, 1,
                                             fk_get_clock (kernel), counters, &hooks);
   backend->once = fr_create_once (&fn_get_settings (kernel)->id, fn_get_start_id (kernel),
                                   secret, ONCE_RECORDS_MAX, ONCE_BYTES_MAX);
@@ -456,12 +469,12 @@
   backend->refused = fb_find_counter (counters, "backend_calls", "end=\"refused\"");
   backend->replayed = fb_find_counter (counters, "backend_calls", "end=\"replayed\"");
   backend->unknown = fb_find_counter (counters, "backend_calls", "end=\"unknown\"");
-  backend->waits = fb_create_histogram (counters, "backend_wait_us", "");
-  backend->services = fb_create_histogram (counters, "backend_service_us", "");
+  backend->wait_times = fb_create_histogram (counters, "backend_wait_us", "");
+  backend->service_times = fb_create_histogram (counters, "backend_service_us", "");
   fk_register_service (kernel, FN_BACKEND, &vtable, backend);
 }
 
-/* Refuses the calls that wait: the backend server is to get no new work. */
+/* Refuses the queued calls, because the backend server must not receive new ones. */
 static void
 refuse_waiting (fn_backend_t *backend)
 {
@@ -472,10 +485,10 @@
   g_hash_table_iter_init (&iter, backend->calls);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const fn_backend_call_t *served = value;
+      const fn_backend_call_t *backend_call = value;
 
-      if (served->state == FN_CALL_WAITING)
-        g_array_append_val (handles, served->handle);
+      if (backend_call->state == FN_CALL_WAITING)
+        g_array_append_val (handles, backend_call->handle);
     }
   for (guint i = 0; i < handles->len; i++)
     fr_cancel_call (backend->admission, g_array_index (handles, uint64_t, i));
@@ -488,11 +501,11 @@
   fn_backend_t *backend = fk_find_service (kernel, FN_BACKEND);
 
   if (backend->local.slots != local->slots)
-    g_clear_pointer (&backend->rules, fc_release_snapshot);
+    g_clear_pointer (&backend->admission_snapshot, fc_release_snapshot);
   if (!fb_equal_name (&backend->local.instance, &local->instance) && backend->client)
     fh_close_idle (backend->client);
   backend->local = *local;
-  FB_LOG (fk_get_log (kernel), FB_LOG_INFO, FN_BACKEND, "backend server described",
+  FB_LOG (fk_get_log (kernel), FB_LOG_INFO, FN_BACKEND, "backend server description updated",
           FB_TEXT ("instance", local->instance.data), FB_NUMBER ("slots", local->slots),
           FB_NUMBER ("leaving", local->leaving));
   if (local->leaving || local->instance.len == 0)
@@ -503,43 +516,45 @@
 fn_serve_call (fn_backend_t *backend, const fw_call_t *call, fn_answered_fn_t answered,
                void *user)
 {
-  const char *obstacle = find_obstacle (backend, call);
-  bool wants_ticket = fb_equal_str (call->ticket, FN_TICKET_REQUEST)
-                      || (!obstacle && call->ticket.len == 0 && needs_ticket (backend, call));
-  fn_backend_call_t *served = copy_call (backend, call);
-  uint64_t handle = served->handle;
-
-  served->answered = answered;
-  served->user = user;
-  served->has_ticket = !wants_ticket && call->ticket.len > 0;
-  g_hash_table_insert (backend->calls, &served->handle, served);
-  fk_resume_timer (backend->tick);
-  if (served->has_ticket && fr_parse_ticket (call->ticket, &served->ticket) != FB_OK)
-    fn_answer_outcome (served, FW_NOT_RUN, 422, "malformed ticket");
-  else if (obstacle)
-    fn_refuse_backend_call (served, 503, obstacle);
-  else if (wants_ticket)
-    fn_send_ticket (served);
+  const char *refusal_reason = find_refusal_reason (backend, call);
+  bool is_ticket_request
+      = fb_equal_str (call->ticket, FN_TICKET_REQUEST)
+        || (!refusal_reason && call->ticket.len == 0 && needs_ticket (backend, call));
+  fn_backend_call_t *backend_call = create_call (backend, call);
+  uint64_t handle = backend_call->handle;
+
+  backend_call->answered = answered;
+  backend_call->user = user;
+  backend_call->has_ticket = !is_ticket_request && call->ticket.len > 0;
+  g_hash_table_insert (backend->calls, &backend_call->handle, backend_call);
+  fk_resume_timer (backend->tick_timer);
+  if (backend_call->has_ticket
+      && fr_parse_ticket (call->ticket, &backend_call->ticket) != FB_OK)
+    fn_answer_outcome (backend_call, FW_NOT_RUN, 422, "malformed ticket");
+  else if (refusal_reason)
+    fn_refuse_backend_call (backend_call, 503, refusal_reason);
+  else if (is_ticket_request)
+    fn_send_ticket (backend_call);
   else
-    offer_served (served);
+    enqueue_call (backend_call);
   return g_hash_table_contains (backend->calls, &handle) ? handle : 0;
 }
 
 void
 fn_cancel_call (fn_backend_t *backend, uint64_t handle)
 {
-  fn_backend_call_t *served = g_hash_table_lookup (backend->calls, &handle);
+  fn_backend_call_t *backend_call = g_hash_table_lookup (backend->calls, &handle);
   fw_call_t answer = { .outcome = FW_FAILED };
 
-  if (!served)
+  if (!backend_call)
     return;
-  served->answered = NULL;
-  if (served->state == FN_CALL_RUNNING && !served->has_ticket)
+  backend_call->answered = NULL;
+  if (backend_call->state == FN_CALL_RUNNING && !backend_call->has_ticket)
     {
-      fh_cancel_exchange (served->exchange);
-      end_running (served, &answer);
+      fh_cancel_exchange (backend_call->exchange);
+      finish_running (backend_call, &answer);
     }
-  else if (served->state == FN_CALL_WAITING)
+  else if (backend_call->state == FN_CALL_WAITING)
     fr_cancel_call (backend->admission, handle);
 }
 
--- a/packages/node/source/node-backend.h
+++ b/packages/node/source/node-backend.h
@@ -1,5 +1,5 @@
-/* State of calls at the node beside the backend server, shared by the files of the backend
- * service. */
+/* State of the backend service, shared by its files: calls to the backend server on this node's
+ * host. */
 #ifndef FOXTAILRUN_NODE_BACKEND_H
 #define FOXTAILRUN_NODE_BACKEND_H
 
@@ -14,20 +14,20 @@
 {
   FN_CALL_WAITING,
   FN_CALL_RUNNING,
-  FN_CALL_JOINED /* waits for the answer of a running call with the same ticket */
+  FN_CALL_JOINED /* waits for the answer to an earlier call with the same ticket */
 } fn_call_state_t;
 
-/* One call at the node beside the backend server. */
+/* A call to the backend server that is not answered yet. */
 typedef struct
 {
-  fn_backend_t *backend; /* owner */
+  fn_backend_t *backend;
   uint64_t handle;
   fn_call_state_t state;
   uint8_t *header;
   uint8_t *body;
-  fw_call_t call; /* refers to HEADER and BODY */
+  fw_call_t call; /* borrows from HEADER and BODY */
   fb_time_t deadline;
-  fb_time_t target_time; /* until which the answer is in time */
+  fb_time_t target_time; /* absolute; a later answer misses the latency target */
   fb_time_t arrived_at;
   fb_time_t started_at;
   bool has_ticket;
@@ -43,46 +43,49 @@
   fr_admission_t *admission;
   fr_once_t *once;
   fh_client_t *client;
-  fk_timer_t *tick;
+  fk_timer_t *tick_timer;
   GHashTable *calls; /* fn_backend_call_t by handle */
   uint64_t last_handle;
-  fc_snapshot_t *rules; /* whose ranks and slots admission has; NULL when they are to be set */
-  fn_local_backend_t local; /* the backend server as the platform describes it */
-  fb_time_t avoid_until;    /* no connection was had; calls are refused until then */
-  bool draining;
-  bool closed;
+  fc_snapshot_t *admission_snapshot; /* whose ranks and slots are set in ADMISSION; NULL if
+                                        they must be set again */
+  fn_local_backend_t local;          /* the backend server as the platform describes it */
+  fb_time_t refuse_until; /* calls are refused until then, after a failed connection */
+  bool draining;          /* calls without a ticket are refused */
+  bool closed;            /* all calls are refused */
   fb_counter_t *started;
   fb_counter_t *refused;
   fb_counter_t *replayed;
   fb_counter_t *unknown;
-  fb_histogram_t *waits;    /* for a slot, of calls that got one */
-  fb_histogram_t *services; /* at the backend server */
+  fb_histogram_t *wait_times;    /* in the queue, of calls that were started */
+  fb_histogram_t *service_times; /* at the backend server */
 };
 
-/* Answers a call and forgets it. */
-void fn_answer_backend_call (fn_backend_call_t *served, fw_call_t *answer);
+/* Answers and frees a call. */
+void fn_answer_backend_call (fn_backend_call_t *backend_call, fw_call_t *answer);
 
-/* Answers a call with an outcome made here. */
-void fn_answer_outcome (fn_backend_call_t *served, fw_outcome_t outcome, uint32_t status,
+/* Answers a call with OUTCOME, determined by this node. */
+void fn_answer_outcome (fn_backend_call_t *backend_call, fw_outcome_t outcome, uint32_t status,
                         const char *reason);
 
-/* Refuses a call for a reason that other instances need not share. */
-void fn_refuse_for_retry_elsewhere (fn_backend_call_t *served, uint32_t status,
+/* Refuses a call for a reason specific to this instance, so that it can be retried elsewhere.
+ */
+void fn_refuse_for_retry_elsewhere (fn_backend_call_t *backend_call, uint32_t status,
                                     const char *reason);
 
-/* Begins the use of a call's ticket; returns false when the call was answered, or joined to a
- * running one, from what is known of the ticket. */
-bool fn_begin_ticket (fn_backend_call_t *served);
+/* Begins the use of a call's ticket. Returns false if there was an earlier use or the ticket is
+ * invalid: the call is then answered, or joined to the call that is still running. */
+bool fn_begin_ticket (fn_backend_call_t *backend_call);
 
-/* Records the end of the use that fn_begin_ticket began and answers the calls that joined it.
- */
-void fn_end_ticket (fn_backend_call_t *served, const fw_call_t *answer);
+/* Records the outcome of the use that fn_begin_ticket began and answers the calls that joined
+ * it. */
+void fn_end_ticket (fn_backend_call_t *backend_call, const fw_call_t *answer);
 
-/* Refuses a call that was not taken. With a ticket, "not run" is told only when no earlier use
- * ran, and the ticket never runs later. */
-void fn_refuse_backend_call (fn_backend_call_t *served, uint32_t status, const char *reason);
+/* Refuses a call that was not queued. With a ticket the outcome is "not run" only if no earlier
+ * use ran, and the ticket is recorded as refused so that it never runs later. */
+void fn_refuse_backend_call (fn_backend_call_t *backend_call, uint32_t status,
+                             const char *reason);
 
-/* Answers a call that needs a ticket with a new one. */
-void fn_send_ticket (fn_backend_call_t *served);
+/* Answers a call that needs a ticket with a new ticket. */
+void fn_send_ticket (fn_backend_call_t *backend_call);
 
 #endif
