--- a/packages/node/source/node-feed.c
+++ b/packages/node/source/node-feed.c
@@ -1,5 +1,6 @@
-/* The feed of a node on a platform with a store: carries out the reads and asks that the feed
- * decides on, and passes on what it learns. */
+/* Feed service of a node whose platform lists endpoints and configuration in a store. Performs
+ * the reads and requests that the feed schedules, and passes endpoints and documents on to the
+ * other services. */
 #include "node-services.h"
 #include <foxtailrun/base/invariant.h>
 #include <foxtailrun/dist/feed.h>
@@ -8,47 +9,47 @@
 #include <glib.h>
 #include <sodium.h>
 
-/* Paces that an ask may take; a relay answers after each of its reads, which follow within one
- * pace. */
-#define ASK_PACES 1.5
+/* Timeout of a request to a relay, in poll intervals. A relay responds after each of its reads,
+ * which are at most one poll interval apart. */
+#define RELAY_TIMEOUT_POLL_INTERVALS 1.5
 
-/* Time in which a relay must take a connection. */
-#define CONNECT_TIMEOUT (250 * FB_MILLISECOND)
+#define RELAY_CONNECT_TIMEOUT (250 * FB_MILLISECOND)
 
-/* Largest news: a whole fleet of the target size, at some 150 bytes for each endpoint. */
-#define NEWS_MAX (2 * 1024 * 1024)
+/* Holds all endpoints of a fleet of the target size, at about 150 bytes each. */
+#define FEED_MESSAGE_BYTES_MAX (2 * 1024 * 1024)
 
 struct fn_feed
 {
   fn_source_t base;
   fk_kernel_t *kernel;
-  const fn_store_t *api;
-  void *api_user;
-  void *store; /* the adapter's */
+  const fn_store_t *store;
+  void *store_user;
+  void *reader; /* returned by STORE */
   fd_feed_t *feed;
-  fk_timer_t *wake;
-  fh_client_t *relay; /* NULL before the first ask */
+  fk_timer_t *run_timer;
+  fh_client_t *relay; /* NULL before the first request */
   fb_name_t relay_address;
-  bool awaited; /* the distribution waits for a document above AWAITED_INDEX */
-  uint64_t awaited_index;
-  fb_name_t local_id; /* endpoint of the backend server beside this node */
-  uint64_t local_start;
+  bool is_awaiting_document; /* the distribution waits for a document above DOCUMENT_INDEX */
+  uint64_t document_index;
+  fb_name_t local_id; /* endpoint of the backend server on this node's host */
+  uint64_t local_incarnation;
   fb_counter_t *malformed;
 };
 
 static void run_feed (void *user);
 
-/* Lets the feed run at TIME. */
+/* Schedules the next run of the feed for TIME; a time in the past means the next turn of the
+ * loop. */
 static void
-wake_at (fn_feed_t *feed, fb_time_t time)
+schedule_run (fn_feed_t *feed, fb_time_t time)
 {
   fb_time_t now = fb_read_clock (fk_get_clock (feed->kernel));
 
-  fk_destroy_timer (feed->wake);
-  feed->wake = fk_create_timeout (feed->kernel, MAX (time - now, 0), run_feed, feed);
+  fk_destroy_timer (feed->run_timer);
+  feed->run_timer = fk_create_timeout (feed->kernel, MAX (time - now, 0), run_feed, feed);
 }
 
-/* Tells the distribution the document that it waits for, if it is there. */
+/* Passes the document that the distribution waits for, if there is one, on to it. */
 static void
 deliver_document (void *user)
 {
@@ -56,16 +57,16 @@
   uint64_t position;
   fb_bytes_t text = fd_get_document (feed->feed, &position);
 
-  if (!feed->awaited || !fd_is_synced (feed->feed))
+  if (!feed->is_awaiting_document || !fd_is_synced (feed->feed))
     return;
-  if (position > feed->awaited_index)
+  if (position > feed->document_index)
     {
-      feed->awaited = false;
+      feed->is_awaiting_document = false;
       fn_finish_source_read (feed->kernel, FB_OK, position, text);
     }
-  else if (feed->awaited_index == 0)
+  else if (feed->document_index == 0)
     {
-      feed->awaited = false;
+      feed->is_awaiting_document = false;
       fn_finish_source_read (feed->kernel, FB_NOT_FOUND, 0, (fb_bytes_t){ NULL, 0 });
     }
 }
@@ -76,7 +77,7 @@
   fn_feed_t *feed = user;
 
   deliver_document (feed);
-  wake_at (feed, fd_run_feed (feed->feed));
+  schedule_run (feed, fd_run_feed (feed->feed));
 }
 
 static void
@@ -84,33 +85,33 @@
 {
   fn_feed_t *feed = (fn_feed_t *)source;
 
-  feed->awaited = true;
-  feed->awaited_index = index;
-  wake_at (feed, 0);
+  feed->is_awaiting_document = true;
+  feed->document_index = index;
+  schedule_run (feed, 0);
 }
 
-/* Keeps the description of the backend server beside this node. Of two endpoints at its address
- * the one that started later counts. */
+/* Updates the description of the backend server on this node's host from ENDPOINT. Of two
+ * endpoints at its address the later incarnation counts. */
 static void
-take_local (fn_feed_t *feed, const fw_endpoint_t *endpoint)
+update_local_backend (fn_feed_t *feed, const fw_endpoint_t *endpoint)
 {
   const fw_member_t *member = &endpoint->member;
-  bool known = fb_equal_name (&member->id, &feed->local_id);
+  bool is_current = fb_equal_name (&member->id, &feed->local_id);
   fn_local_backend_t local = { 0 };
 
-  if (member->state == FW_DEAD && !known)
+  if (member->state == FW_DEAD && !is_current)
     return;
-  if (!known && feed->local_id.len > 0 && member->incarnation < feed->local_start)
+  if (!is_current && feed->local_id.len > 0 && member->incarnation < feed->local_incarnation)
     return;
   if (member->state != FW_DEAD)
     local = (fn_local_backend_t){ member->id, endpoint->slots, member->state == FW_LEAVING };
   feed->local_id = local.instance;
-  feed->local_start = member->incarnation;
+  feed->local_incarnation = member->incarnation;
   fn_set_local_backend (feed->kernel, &local);
 }
 
 static void
-change_endpoint (const fw_endpoint_t *endpoint, void *user)
+handle_endpoint_change (const fw_endpoint_t *endpoint, void *user)
 {
   fn_feed_t *feed = user;
   const fw_member_t *member = &endpoint->member;
@@ -122,7 +123,7 @@
           FB_NUMBER ("position", fd_get_position (feed->feed)),
           FB_NUMBER ("age_ms", fd_get_age (feed->feed) / FB_MILLISECOND));
   if (fb_equal_name (&member->address, &fn_get_settings (feed->kernel)->address))
-    take_local (feed, endpoint);
+    update_local_backend (feed, endpoint);
   fn_update_endpoint (feed->kernel, member);
 }
 
@@ -131,14 +132,14 @@
 {
   fn_feed_t *feed = user;
 
-  feed->api->read (feed->store, read);
+  feed->store->read (feed->reader, read);
 }
 
 void
-fn_end_store_read (fn_feed_t *feed, const fd_read_result_t *end)
+fn_end_store_read (fn_feed_t *feed, const fd_read_result_t *result)
 {
-  fd_end_read (feed->feed, end);
-  wake_at (feed, 0);
+  fd_end_read (feed->feed, result);
+  schedule_run (feed, 0);
 }
 
 fd_feed_t *
@@ -148,70 +149,70 @@
 }
 
 static void
-receive_news (const fh_response_t *response, void *user)
+receive_response (const fh_response_t *response, void *user)
 {
   fn_feed_t *feed = user;
-  fw_feed_message_t news;
+  fw_feed_message_t message;
 
   if (response->result != FH_ANSWERED || response->status != 200)
-    fd_fail_request (feed->feed, response->error ? response->error : "no answer");
-  else if (fw_decode_feed (response->body, &news) != FB_OK)
+    fd_fail_request (feed->feed, response->error ? response->error : "no response");
+  else if (fw_decode_feed (response->body, &message) != FB_OK)
     {
       fb_add_counter (feed->malformed, 1);
-      fd_fail_request (feed->feed, "malformed news");
+      fd_fail_request (feed->feed, "malformed feed message");
     }
   else
     {
-      fd_handle_response (feed->feed, &news);
-      fw_clear_feed (&news);
+      fd_handle_response (feed->feed, &message);
+      fw_clear_feed (&message);
     }
-  /* The relay's client, which the next run may replace, is still in use here. */
-  wake_at (feed, 0);
+  /* The run is deferred because it may destroy the relay's client, which is in use here. */
+  schedule_run (feed, 0);
 }
 
 static void
-set_relay (fn_feed_t *feed, const fw_member_t *peer)
+connect_relay (fn_feed_t *feed, const fw_member_t *peer)
 {
-  fb_time_t limit
-      = (fb_time_t)((double)fn_get_settings (feed->kernel)->source_poll_interval * ASK_PACES);
+  fb_time_t timeout = (fb_time_t)((double)fn_get_settings (feed->kernel)->source_poll_interval
+                                  * RELAY_TIMEOUT_POLL_INTERVALS);
 
   if (feed->relay && fb_equal_name (&feed->relay_address, &peer->address))
     return;
   fh_destroy_client (feed->relay);
-  feed->relay
-      = fh_create_client (feed->kernel, &peer->address, peer->call_port, 1, NEWS_MAX, limit);
-  fh_set_connect_timeout (feed->relay, CONNECT_TIMEOUT);
+  feed->relay = fh_create_client (feed->kernel, &peer->address, peer->call_port, 1,
+                                  FEED_MESSAGE_BYTES_MAX, timeout);
+  fh_set_connect_timeout (feed->relay, RELAY_CONNECT_TIMEOUT);
   feed->relay_address = peer->address;
 }
 
 static void
-send_ask (const fw_member_t *peer, const fw_feed_message_t *ask, void *user)
+send_request (const fw_member_t *peer, const fw_feed_message_t *message, void *user)
 {
   fn_feed_t *feed = user;
   size_t length;
-  uint8_t *bytes = fw_encode_feed (ask, &length);
+  uint8_t *bytes = fw_encode_feed (message, &length);
   fh_client_request_t outgoing = { .method = FB_LITERAL ("POST"),
                                    .path = FB_LITERAL (FN_FEED_PATH),
                                    .body = { bytes, length },
                                    .repeatable = true };
 
-  set_relay (feed, peer);
-  fh_send_request (feed->relay, &outgoing, receive_news, feed);
+  connect_relay (feed, peer);
+  fh_send_request (feed->relay, &outgoing, receive_response, feed);
   g_free (bytes);
 }
 
 static void
-answer_ask (void *asker, const fw_feed_message_t *news, void *user)
+send_response (void *requester, const fw_feed_message_t *message, void *user)
 {
   size_t length;
-  uint8_t *bytes = fw_encode_feed (news, &length);
+  uint8_t *bytes = fw_encode_feed (message, &length);
 
-  fh_respond (asker, 200, NULL, 0, (fb_bytes_t){ bytes, length });
+  fh_respond (requester, 200, NULL, 0, (fb_bytes_t){ bytes, length });
   g_free (bytes);
 }
 
 static void
-drop_ask (fh_request_t *request, void *user)
+cancel_request (fh_request_t *request, void *user)
 {
   fn_feed_t *feed = user;
 
@@ -223,21 +224,21 @@
 fn_handle_feed_request (fk_kernel_t *kernel, fh_request_t *request)
 {
   fn_feed_t *feed = fk_find_service (kernel, FN_SOURCE);
-  fw_feed_message_t ask;
+  fw_feed_message_t message;
 
   if (!fn_get_adapter (kernel)->source_lists_endpoints
-      || fw_decode_feed (fh_get_body (request), &ask) != FB_OK)
+      || fw_decode_feed (fh_get_body (request), &message) != FB_OK)
     {
       fh_respond (request, 400, NULL, 0, (fb_bytes_t){ NULL, 0 });
       return;
     }
-  fh_set_cancelled_handler (request, drop_ask, feed);
-  if (ask.kind == FW_FEED_REQUEST)
-    fd_handle_request (feed->feed, request, &ask);
+  fh_set_cancelled_handler (request, cancel_request, feed);
+  if (message.kind == FW_FEED_REQUEST)
+    fd_handle_request (feed->feed, request, &message);
   else
-    drop_ask (request, feed);
-  fw_clear_feed (&ask);
-  wake_at (feed, 0);
+    cancel_request (request, feed);
+  fw_clear_feed (&message);
+  schedule_run (feed, 0);
 }
 
 static fb_status_t
@@ -245,8 +246,8 @@
 {
   fn_feed_t *feed = data;
 
-  feed->store = feed->api->create (kernel, feed, feed->api_user);
-  wake_at (feed, 0);
+  feed->reader = feed->store->create (kernel, feed, feed->store_user);
+  schedule_run (feed, 0);
   return FB_OK;
 }
 
@@ -255,9 +256,9 @@
 {
   fn_feed_t *feed = data;
 
-  fk_destroy_timer (feed->wake);
+  fk_destroy_timer (feed->run_timer);
   fh_destroy_client (feed->relay);
-  feed->api->destroy (feed->store);
+  feed->store->destroy (feed->reader);
 }
 
 static void
@@ -270,23 +271,24 @@
 }
 
 void
-fn_register_feed (fk_kernel_t *kernel, const fn_store_t *api, void *user)
+fn_register_feed (fk_kernel_t *kernel, const fn_store_t *store, void *user)
 {
   static const fk_service_t vtable = { start_feed, stop_feed, destroy_feed };
   const fc_settings_t *settings = fn_get_settings (kernel);
-  fd_feed_options_t rules = { .address = settings->address,
-                              .zone = settings->zone,
-                              .poll_interval = settings->source_poll_interval };
+  fd_feed_options_t options = { .address = settings->address,
+                                .zone = settings->zone,
+                                .poll_interval = settings->source_poll_interval };
   fn_feed_t *feed = g_new0 (fn_feed_t, 1);
   fd_feed_hooks_t hooks
-      = { read_store, send_ask, answer_ask, change_endpoint, deliver_document, feed };
+      = { read_store,       send_request, send_response, handle_endpoint_change,
+          deliver_document, feed };
 
   feed->base.read = read_document;
   feed->kernel = kernel;
-  feed->api = api;
-  feed->api_user = user;
+  feed->store = store;
+  feed->store_user = user;
   feed->malformed = fb_find_counter (fk_get_counters (kernel), "malformed_news", "");
-  feed->feed = fd_create_feed (&rules, randombytes_random (), fk_get_clock (kernel),
+  feed->feed = fd_create_feed (&options, randombytes_random (), fk_get_clock (kernel),
                                fk_get_counters (kernel), fk_get_log (kernel), &hooks);
   fk_register_service (kernel, FN_SOURCE, &vtable, feed);
 }
