--- a/packages/node/source/node-distribution.c
+++ b/packages/node/source/node-distribution.c
@@ -6,7 +6,8 @@
 
 #define TICK_PERIOD (100 * FB_MILLISECOND)
 
-/* A tick this late is made up for before a call is judged, so that a pause is noticed first. */
+/* If the last tick is older than this, fn_is_ready runs a tick first, so that a pause of the
+ * process is detected before a call is accepted. */
 #define TICK_OVERDUE (1 * FB_SECOND)
 
 struct fn_distribution
@@ -14,7 +15,7 @@
   fk_kernel_t *kernel;
   fd_node_t *node;
   ft_bus_t *bus;
-  fk_timer_t *tick;
+  fk_timer_t *tick_timer;
   fb_time_t last_tick;
   char *refusal;
 };
@@ -50,7 +51,7 @@
 
   fb_format_version (version, text, sizeof text);
   fm_set_version (fn_get_members (membership), version);
-  /* A refusal that a later version has overtaken is no longer news. */
+  /* This version supersedes the refused one. */
   g_clear_pointer (&distribution->refusal, g_free);
   FB_LOG (fk_get_log (distribution->kernel), FB_LOG_INFO, FN_DISTRIBUTION,
           "configuration in force", FB_TEXT ("version", text),
@@ -83,7 +84,7 @@
           FB_TEXT ("problem", distribution->refusal));
 }
 
-/* Messages that get lost are asked for again by the distribution's own timers. */
+/* Lost messages need no handling here: the distribution requests them again by its timers. */
 static void
 receive_control (fb_bytes_t header, fb_bytes_t body, void *user)
 {
@@ -124,7 +125,8 @@
       if (!distribution->bus)
         return FB_IO;
     }
-  distribution->tick = fk_create_timer (kernel, TICK_PERIOD, tick_distribution, distribution);
+  distribution->tick_timer
+      = fk_create_timer (kernel, TICK_PERIOD, tick_distribution, distribution);
   tick_distribution (distribution);
   return FB_OK;
 }
@@ -134,7 +136,7 @@
 {
   fn_distribution_t *distribution = data;
 
-  fk_destroy_timer (distribution->tick);
+  fk_destroy_timer (distribution->tick_timer);
   ft_destroy_bus (distribution->bus);
   distribution->bus = NULL;
 }
--- a/packages/node/source/node-membership.c
+++ b/packages/node/source/node-membership.c
@@ -6,10 +6,11 @@
 #include <sodium.h>
 
 #define WATCHERS_MAX 4
-/* The same period as the distribution, so that both run in one wake-up of the process. */
+
+/* Same as that of the distribution, so that one wake-up of the process serves both. */
 #define TICK_PERIOD (100 * FB_MILLISECOND)
 
-/* Seeds are pinged again until at least one other member is known. */
+/* Interval at which the seeds are pinged until another member is known. */
 #define SEED_PERIOD (1 * FB_SECOND)
 
 typedef struct
@@ -23,9 +24,9 @@
   fk_kernel_t *kernel;
   fm_table_t *table;
   ft_udp_t *udp;
-  fk_timer_t *tick;
-  fk_timer_t *seed;
-  fk_timer_t *leave; /* set once the host list has this host leave */
+  fk_timer_t *tick_timer;
+  fk_timer_t *seed_timer;
+  fk_timer_t *drain_timer; /* set once the host list has marked this host as leaving */
   watcher_t watchers[WATCHERS_MAX];
   size_t watcher_count;
 };
@@ -55,7 +56,7 @@
 }
 
 static void
-hear_version (const fw_member_t *sender, const fb_version_t *version, void *user)
+receive_summary (const fw_member_t *sender, const fb_version_t *version, void *user)
 {
   fn_membership_t *membership = user;
 
@@ -63,12 +64,12 @@
 }
 
 static void
-start_leaving (void *user)
+begin_drain (void *user)
 {
   fn_membership_t *membership = user;
 
   FB_LOG (fk_get_log (membership->kernel), FB_LOG_INFO, FN_MEMBERSHIP,
-          "the host list has this host leave",
+          "the host list marks this host as leaving",
           FB_TEXT ("id", fn_get_settings (membership->kernel)->id.data));
   fn_begin_drain (membership->kernel);
 }
@@ -82,14 +83,15 @@
 }
 
 static void
-begin_leaving (void *user)
+schedule_drain (void *user)
 {
   fn_membership_t *membership = user;
 
-  /* The drain changes the table, which its hooks must not: it starts with the next turn of the
-   * loop. */
-  if (!membership->leave)
-    membership->leave = fk_create_timeout (membership->kernel, 0, start_leaving, membership);
+  /* The drain changes the member table, which is not allowed in a hook, so it is deferred to
+   * the next turn of the loop. */
+  if (!membership->drain_timer)
+    membership->drain_timer
+        = fk_create_timeout (membership->kernel, 0, begin_drain, membership);
 }
 
 static void
@@ -132,8 +134,8 @@
                                    receive_datagram, membership);
   if (!membership->udp)
     return FB_IO;
-  membership->tick = fk_create_timer (kernel, TICK_PERIOD, tick_membership, membership);
-  membership->seed = fk_create_timer (kernel, SEED_PERIOD, probe_seeds, membership);
+  membership->tick_timer = fk_create_timer (kernel, TICK_PERIOD, tick_membership, membership);
+  membership->seed_timer = fk_create_timer (kernel, SEED_PERIOD, probe_seeds, membership);
   probe_seeds (membership);
   return FB_OK;
 }
@@ -143,9 +145,9 @@
 {
   fn_membership_t *membership = data;
 
-  fk_destroy_timer (membership->tick);
-  fk_destroy_timer (membership->seed);
-  fk_destroy_timer (membership->leave);
+  fk_destroy_timer (membership->tick_timer);
+  fk_destroy_timer (membership->seed_timer);
+  fk_destroy_timer (membership->drain_timer);
   ft_destroy_udp (membership->udp);
   membership->udp = NULL;
 }
@@ -183,9 +185,9 @@
   fm_options_t options = fm_get_default_options ();
   fm_hooks_t hooks = { .send = send_datagram,
                        .changed = report_change,
-                       .summary_received = hear_version,
+                       .summary_received = receive_summary,
                        .diverged = report_divergence,
-                       .leave_requested = begin_leaving,
+                       .leave_requested = schedule_drain,
                        .user = membership };
 
   membership->kernel = kernel;
--- a/packages/node/source/node-source.c
+++ b/packages/node/source/node-source.c
@@ -4,28 +4,28 @@
 #include <jansson.h>
 #include <stdio.h>
 
-/* The configuration service speaks Consul's KV and health protocols. */
+/* Paths of Consul's KV and health API. */
 #define DOCUMENT_PATH "/v1/kv/foxtailrun/config?raw=true"
-#define HOSTS_PATH "/v1/health/service/foxtailrun?passing=false"
+#define HOST_LIST_PATH "/v1/health/service/foxtailrun?passing=false"
 
-/* Time after which a silent connection to the source is given up: the wait of a watch, the
- * sixteenth that Consul may add, and time to answer. */
+/* Limit of each wait for data from the source: the wait of a watch, the sixteenth of it that
+ * Consul may add, and time to respond. */
 #define IO_TIMEOUT (FD_WATCH_WAIT + 1 * FB_SECOND)
 
-/* Pause between two watches of the host list on readers. */
-#define HOSTS_PERIOD (500 * FB_MILLISECOND)
+/* Interval at which a reader starts a watch of the host list if none is open. */
+#define HOSTS_POLL_INTERVAL (500 * FB_MILLISECOND)
 
-/* A starting node reads the host list only when the seeds have given it no other member, after
- * a random delay between these bounds: with the reads of the document in the first 2 s, a
- * restart of 3,000 nodes without seeds stays below 2,000 calls a second. */
-#define HOSTS_START_MIN_MS 2000
-#define HOSTS_START_MAX_MS 6000
+/* Bounds of the random delay after which a starting node reads the host list, unless the seeds
+ * have led to another member. Together with the document reads in the first 2 s, a restart of
+ * 3,000 nodes without seeds stays below 2,000 requests a second. */
+#define HOSTS_START_DELAY_MIN_MS 2000
+#define HOSTS_START_DELAY_MAX_MS 6000
 
-/* Upper bound of the random delay before the host list is read again after a failure. */
-#define HOSTS_RETRY_MAX_MS 5000
+/* Upper bound of the random delay before a failed read of the host list is repeated. */
+#define HOSTS_RETRY_DELAY_MAX_MS 5000
 
-/* Largest host list: 3,000 hosts of some 500 bytes. */
-#define HOSTS_MAX (4 * 1024 * 1024)
+/* Holds a list of 3,000 hosts at about 500 bytes each, with a margin. */
+#define HOST_LIST_BYTES_MAX (4 * 1024 * 1024)
 
 typedef struct
 {
@@ -35,11 +35,11 @@
   fh_exchange_t *document_read;
   fh_exchange_t *hosts_read;
   uint64_t hosts_index;
-  fb_time_t hosts_next; /* no read before, after a failure */
-  fk_timer_t *hosts_start;
-  fk_timer_t *hosts_period;
-  fb_counter_t *calls;
-} consul_t;
+  fb_time_t hosts_retry_at; /* earliest time of the next read, after a failure */
+  fk_timer_t *hosts_start_timer;
+  fk_timer_t *hosts_poll_timer;
+  fb_counter_t *requests;
+} consul_source_t;
 
 static uint64_t
 parse_index (const fh_response_t *response)
@@ -55,7 +55,7 @@
 static void
 end_document_read (const fh_response_t *response, void *user)
 {
-  consul_t *source = user;
+  consul_source_t *source = user;
   fb_status_t status = FB_UNAVAILABLE;
 
   source->document_read = NULL;
@@ -81,10 +81,10 @@
   return g_str_equal (get_text (json_object_get (service, "Meta"), "state"), "leaving");
 }
 
-/* Probes the hosts of the list that are not known as members, and marks those that are to
- * leave. */
+/* Probes the hosts of LIST that are not members or count as dead, and marks the members that
+ * the list shows as leaving. */
 static void
-probe_hosts (consul_t *source, json_t *list)
+probe_hosts (consul_source_t *source, json_t *list)
 {
   fm_table_t *members = fn_get_members (fk_find_service (source->kernel, FN_MEMBERSHIP));
   size_t i;
@@ -96,11 +96,11 @@
     fb_name_t id = fb_make_name (get_text (service, "ID"));
     fb_name_t address = fb_make_name (get_text (service, "Address"));
     json_int_t port = json_integer_value (json_object_get (service, "Port"));
-    const fw_member_t *known = fm_find_member (members, &id);
+    const fw_member_t *member = fm_find_member (members, &id);
 
     if (address.len == 0 || port <= 0 || port > UINT16_MAX)
       continue;
-    if (!known || known->state == FW_DEAD)
+    if (!member || member->state == FW_DEAD)
       fm_probe_address (members, &address, (uint16_t)port);
     else if (is_leaving (service))
       fm_mark_leaving (members, &id);
@@ -110,7 +110,7 @@
 static void
 end_hosts_read (const fh_response_t *response, void *user)
 {
-  consul_t *source = user;
+  consul_source_t *source = user;
   json_t *list = NULL;
 
   source->hosts_read = NULL;
@@ -121,43 +121,45 @@
     probe_hosts (source, list);
   else
     {
-      source->hosts_next = fb_read_clock (fk_get_clock (source->kernel))
-                           + g_random_int_range (1000, HOSTS_RETRY_MAX_MS) * FB_MILLISECOND;
-      FB_LOG (fk_get_log (source->kernel), FB_LOG_WARNING, FN_SOURCE, "host list not read",
-              FB_NUMBER ("status", response->status));
+      source->hosts_retry_at
+          = fb_read_clock (fk_get_clock (source->kernel))
+            + g_random_int_range (1000, HOSTS_RETRY_DELAY_MAX_MS) * FB_MILLISECOND;
+      FB_LOG (fk_get_log (source->kernel), FB_LOG_WARNING, FN_SOURCE,
+              "host list could not be read", FB_NUMBER ("status", response->status));
     }
   json_decref (list);
 }
 
 static fh_exchange_t *
-send_get (consul_t *source, const char *path, fh_done_fn_t done)
+send_get (consul_source_t *source, const char *path, fh_done_fn_t done)
 {
   fh_client_request_t outgoing = { .method = FB_LITERAL ("GET"), .path = fb_wrap_text (path) };
 
-  fb_add_counter (source->calls, 1);
+  fb_add_counter (source->requests, 1);
   return fh_send_request (source->client, &outgoing, done, source);
 }
 
 static void
 read_hosts (void *user)
 {
-  consul_t *source = user;
+  consul_source_t *source = user;
   char path[128];
 
-  if (source->hosts_read || fb_read_clock (fk_get_clock (source->kernel)) < source->hosts_next)
+  if (source->hosts_read
+      || fb_read_clock (fk_get_clock (source->kernel)) < source->hosts_retry_at)
     return;
   if (source->hosts_index == 0)
-    g_strlcpy (path, HOSTS_PATH, sizeof path);
+    g_strlcpy (path, HOST_LIST_PATH, sizeof path);
   else
-    snprintf (path, sizeof path, HOSTS_PATH "&index=%" G_GUINT64_FORMAT "&wait=%ds",
+    snprintf (path, sizeof path, HOST_LIST_PATH "&index=%" G_GUINT64_FORMAT "&wait=%ds",
               source->hosts_index, (int)(FD_WATCH_WAIT / FB_SECOND));
   source->hosts_read = send_get (source, path, end_hosts_read);
 }
 
 static void
-read_hosts_when_alone (void *user)
+read_hosts_without_peers (void *user)
 {
-  consul_t *source = user;
+  consul_source_t *source = user;
 
   if (fm_count_members (fn_get_members (fk_find_service (source->kernel, FN_MEMBERSHIP)),
                         FW_ALIVE)
@@ -166,9 +168,9 @@
 }
 
 static void
-read_hosts_as_reader (void *user)
+poll_hosts_as_reader (void *user)
 {
-  consul_t *source = user;
+  consul_source_t *source = user;
 
   if (fn_is_reader (fk_find_service (source->kernel, FN_DISTRIBUTION)))
     read_hosts (source);
@@ -179,24 +181,27 @@
 static fb_status_t
 start_source (fk_kernel_t *kernel, void *data)
 {
-  consul_t *source = data;
+  consul_source_t *source = data;
   const fc_settings_t *settings = fn_get_settings (kernel);
 
   if (settings->platform.port == 0)
     return FB_OK;
-  source->client = fh_create_client (kernel, &settings->platform.address,
-                                     settings->platform.port, 2, HOSTS_MAX, IO_TIMEOUT);
-  source->hosts_start = fk_create_timeout (
-      kernel, g_random_int_range (HOSTS_START_MIN_MS, HOSTS_START_MAX_MS) * FB_MILLISECOND,
-      read_hosts_when_alone, source);
-  source->hosts_period = fk_create_timer (kernel, HOSTS_PERIOD, read_hosts_as_reader, source);
+  source->client
+      = fh_create_client (kernel, &settings->platform.address, settings->platform.port, 2,
+                          HOST_LIST_BYTES_MAX, IO_TIMEOUT);
+  source->hosts_start_timer = fk_create_timeout (
+      kernel,
+      g_random_int_range (HOSTS_START_DELAY_MIN_MS, HOSTS_START_DELAY_MAX_MS) * FB_MILLISECOND,
+      read_hosts_without_peers, source);
+  source->hosts_poll_timer
+      = fk_create_timer (kernel, HOSTS_POLL_INTERVAL, poll_hosts_as_reader, source);
   return FB_OK;
 }
 
 static void
 stop_source (void *data)
 {
-  consul_t *source = data;
+  consul_source_t *source = data;
 
   if (!source->client)
     return;
@@ -204,15 +209,15 @@
     fh_cancel_exchange (source->document_read);
   if (source->hosts_read)
     fh_cancel_exchange (source->hosts_read);
-  fk_destroy_timer (source->hosts_start);
-  fk_destroy_timer (source->hosts_period);
+  fk_destroy_timer (source->hosts_start_timer);
+  fk_destroy_timer (source->hosts_poll_timer);
   fh_destroy_client (source->client);
 }
 
 static void
 read_document (fn_source_t *base, uint64_t index)
 {
-  consul_t *source = (consul_t *)base;
+  consul_source_t *source = (consul_source_t *)base;
   char path[128];
 
   if (!source->client || source->document_read)
@@ -229,10 +234,10 @@
 fn_register_source (fk_kernel_t *kernel, void *user)
 {
   static const fk_service_t vtable = { start_source, stop_source, g_free };
-  consul_t *source = g_new0 (consul_t, 1);
+  consul_source_t *source = g_new0 (consul_source_t, 1);
 
   source->base.read = read_document;
   source->kernel = kernel;
-  source->calls = fb_find_counter (fk_get_counters (kernel), "source_calls", "");
+  source->requests = fb_find_counter (fk_get_counters (kernel), "source_calls", "");
   fk_register_service (kernel, FN_SOURCE, &vtable, source);
 }
--- a/packages/node/source/node.c
+++ b/packages/node/source/node.c
@@ -45,11 +45,11 @@
 fn_register_node (fk_kernel_t *kernel, const fc_settings_t *settings,
                   const fn_adapter_t *adapter)
 {
-  static const fn_adapter_t own
+  static const fn_adapter_t default_adapter
       = { .dialect = &fn_default_dialect, .register_source = fn_register_source };
 
   if (!adapter)
-    adapter = &own;
+    adapter = &default_adapter;
   fn_register_settings (kernel, settings, adapter);
   fn_register_membership (kernel);
   fn_register_directory (kernel);
