--- a/packages/node/source/node-backend-ticket.c
+++ b/packages/node/source/node-backend-ticket.c
@@ -75,7 +75,7 @@
       if (fw_unpack_call (recorded, &answer) == FB_OK)
         fn_answer_backend_call (backend_call, &answer);
       else
-        fn_answer_outcome (backend_call, FW_UNKNOWN, 504, "recorded answer cannot be decoded");
+        fn_answer_outcome (backend_call, FW_UNKNOWN, 504, "recorded answer is not readable");
       return;
     case FR_ONCE_REFUSED:
       fn_answer_outcome (backend_call, FW_NOT_RUN, 503, refusal);
@@ -88,7 +88,7 @@
       return;
     default:
       fn_answer_outcome (backend_call, FW_UNKNOWN, 504,
-                         "request with this ticket may have run, no answer is recorded");
+                         "ticket may have run, its answer is not held");
       return;
     }
 }
--- a/packages/node/source/node-backend.c
+++ b/packages/node/source/node-backend.c
@@ -332,12 +332,12 @@
   if (!backend->client || !snapshot
       || !fb_equal_str (call->service, fb_get_name (&settings->service))
       || !fc_find_service (snapshot, call->service, NULL))
-    return "service is not served by this node";
+    return "service is not served here";
   if (fn_get_adapter (backend->kernel)->source_lists_endpoints
       && (backend->local.instance.len == 0 || backend->local.leaving))
-    return "backend server is leaving or not listed";
+    return "backend server is leaving or gone";
   if (fb_read_clock (fk_get_clock (backend->kernel)) < backend->refuse_until)
-    return "backend server does not accept connections";
+    return "backend server takes no connections";
   if (backend->closed || (backend->draining && call->ticket.len == 0))
     return "draining";
   return NULL;
