--- a/packages/http/include/foxtailrun/http/client.h
+++ b/packages/http/include/foxtailrun/http/client.h
@@ -1,18 +1,19 @@
-/* HTTP client on the kernel's loop: whole requests to one server, with reuse of connections. */
+/* HTTP/1.1 client on the kernel's loop for one server, with connection reuse. Requests and
+ * responses are buffered in memory; there is no streaming. */
 #ifndef FOXTAILRUN_HTTP_CLIENT_H
 #define FOXTAILRUN_HTTP_CLIENT_H
 
 #include "message.h"
 #include <foxtailrun/kernel/kernel.h>
 
-/* How an exchange ended. */
+/* Outcome of an exchange. */
 typedef enum
 {
-  FH_ANSWERED,  /* a whole response */
-  FH_NOT_SENT,  /* no connection; nothing reached the server */
-  FH_TRUNCATED, /* the response broke off, or its length cannot be known */
-  FH_NO_ANSWER, /* the request was sent, and the connection ended without a response */
-  FH_TOO_LARGE  /* the response is over the limit */
+  FH_ANSWERED,  /* a complete response was received */
+  FH_NOT_SENT,  /* no connection was established; nothing reached the server */
+  FH_TRUNCATED, /* the response is incomplete, or its length is unknown */
+  FH_NO_ANSWER, /* the request was sent, but no valid response was received */
+  FH_TOO_LARGE  /* the response exceeds a size limit */
 } fh_result_t;
 
 typedef struct
@@ -20,21 +21,21 @@
   fb_str_t method;
   fb_str_t path;
   size_t header_count;
-  const fh_header_t
-      *headers; /* connection headers, host and length are left out and made anew */
+  const fh_header_t *headers; /* hop-by-hop headers, host and content-length are skipped; the
+                                 client writes its own */
   fb_bytes_t body;
-  fb_str_t host; /* host header; the server's address and port when empty */
-  fh_header_t
-      echoed_header; /* header that the server repeats in its response; a response with another
-               value belongs to another request and is dropped. No name: not checked */
-  bool new_connection; /* use a new connection, so that a stale one cannot leave the outcome
-                          open */
-  bool repeatable; /* send again when the server closes a kept connection without a response */
-  bool allows_close_delimited; /* take a body without a length as whole when the connection ends
-                                  in order */
+  fb_str_t host; /* value of the host header; if empty, the server's address and port */
+  /* Header that the server repeats in its response; a response with another value belongs to
+   * another request and is dropped. Not checked if the name is empty. */
+  fh_header_t echoed_header;
+  bool new_connection; /* do not reuse an idle connection; if the server closes it as the
+                          request is sent, it is unknown whether the request was run */
+  bool repeatable;     /* resend if the server closes a reused connection without a response */
+  bool allows_close_delimited; /* accept a body without a length as complete when the server
+                                  closes the connection without a reset */
 } fh_client_request_t;
 
-/* A response; borrowed during the callback. */
+/* A response, borrowed for the duration of the callback. */
 typedef struct
 {
   fh_result_t result;
@@ -42,9 +43,8 @@
   size_t header_count;
   const fh_header_t *headers;
   fb_bytes_t body;
-  bool close_delimited; /* the body ended with the connection, which a server that breaks off
-                    may do too */
-  const char *error;    /* what went wrong, static */
+  bool close_delimited; /* the body ended with the connection; it may be truncated */
+  const char *error;    /* static description; NULL with FH_ANSWERED */
 } fh_response_t;
 
 typedef struct fh_client fh_client_t;
@@ -52,28 +52,29 @@
 
 typedef void (*fh_done_fn_t) (const fh_response_t *response, void *user);
 
-/* Creates a client for one server that keeps at most IDLE_MAX idle connections and takes
- * responses of at most BODY_MAX bytes; IO_TIMEOUT in ns bounds connecting and each wait for
- * data. */
+/* Creates a client for one server that keeps at most IDLE_MAX idle connections and accepts
+ * response bodies of at most BODY_MAX bytes. IO_TIMEOUT in ns limits connecting and each wait
+ * for data. */
 fh_client_t *fh_create_client (fk_kernel_t *kernel, const fb_name_t *address, uint16_t port,
                                size_t idle_max, size_t body_max, fb_time_t io_timeout);
 
-/* Bounds the time in which a connection must be established; at first as IO_TIMEOUT. */
+/* Sets the time limit in ns for establishing a connection; the default is IO_TIMEOUT. */
 void fh_set_connect_timeout (fh_client_t *client, fb_time_t timeout);
 
-/* Closes the connections that no exchange uses. */
+/* Closes all idle connections. */
 void fh_close_idle (fh_client_t *client);
 
-/* Cancels all exchanges and frees the client; NULL is allowed. */
+/* Cancels all exchanges without calling their callbacks and frees the client; NULL is
+ * allowed. */
 void fh_destroy_client (fh_client_t *client);
 
-/* Sends a request, copying all parts. DONE is called once, later, from the loop, unless the
- * exchange is cancelled first. */
-fh_exchange_t *fh_send_request (fh_client_t *client, const fh_client_request_t *outgoing,
+/* Copies REQUEST and sends it. DONE is called once from the loop, never from within this call,
+ * unless the exchange is cancelled first; the exchange is freed after it. */
+fh_exchange_t *fh_send_request (fh_client_t *client, const fh_client_request_t *request,
                                 fh_done_fn_t done, void *user);
 
-/* Closes the connection of an exchange without calling DONE; returns whether the request may
- * have been sent. */
+/* Closes the connection of EXCHANGE and frees EXCHANGE without calling its callback. Returns
+ * whether the request may have been sent. */
 bool fh_cancel_exchange (fh_exchange_t *exchange);
 
 #endif
--- a/packages/http/source/http-client.c
+++ b/packages/http/source/http-client.c
@@ -1,4 +1,3 @@
-/* HTTP client: exchanges over connections that are kept for reuse. */
 #include "http-response.h"
 #include <glib.h>
 #include <netinet/in.h>
@@ -6,19 +5,19 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/* Idle connections are closed after this time in ms, before usual servers close them. */
+/* Shorter than the idle time-out of common servers, so that the client closes first. */
 #define IDLE_TIMEOUT_MS 4000
 
-/* Part of the idle time that a server announces after which a connection is not reused. */
-#define KEEP_ALIVE_PART 0.8
+/* Fraction of the idle time-out announced by the server after which the client closes the
+ * connection; the margin keeps requests off a connection that the server is closing. */
+#define KEEP_ALIVE_FRACTION 0.8
 
-/* Probes that find a connection which went silent: after this idle time in s, that many, so far
- * apart in s. A silent server is noticed within 3 s. */
+/* TCP keep-alive probes: a server that stops responding is detected within 3 s. */
 #define PROBE_IDLE_S 1
 #define PROBE_INTERVAL_S 1
 #define PROBE_COUNT 2
 
-/* Time in ms after which written bytes that nobody acknowledges end the connection. */
+/* The connection is closed when sent bytes stay unacknowledged for this long. */
 #define USER_TIMEOUT_MS 3000
 
 typedef struct connection connection_t;
@@ -26,32 +25,32 @@
 struct fh_client
 {
   fk_kernel_t *kernel;
-  struct sockaddr_storage to;
+  struct sockaddr_storage server_address;
   fb_name_t address;
   uint16_t port;
   size_t idle_max;
   size_t body_max;
-  uint64_t io_ms;
-  uint64_t connect_ms;
-  GQueue idle;      /* connection_t, the last used first */
-  GQueue exchanges; /* fh_exchange_t not ended */
+  uint64_t io_timeout_ms;
+  uint64_t connect_timeout_ms;
+  GQueue idle_connections; /* connection_t, most recently used first */
+  GQueue exchanges;        /* fh_exchange_t in progress */
 };
 
 struct connection
 {
   uv_tcp_t stream;
   uv_timer_t timer;
-  uv_connect_t connect;
+  uv_connect_t connect_request;
   fh_client_t *client;
   fh_exchange_t *exchange; /* NULL while idle */
   fh_reader_t *reader;
-  size_t writes;    /* not yet handed to the operating system */
-  uint64_t idle_ms; /* how long the server keeps it idle */
+  size_t pending_writes;    /* writes not yet passed to the operating system */
+  uint64_t idle_timeout_ms; /* close the connection when idle for longer */
   bool reused;
-  bool tainted; /* an answer of another request came; the stream cannot be trusted further */
+  bool out_of_sync; /* a response to another request arrived; do not reuse the connection */
   bool closing;
   int open_handles;
-  GList link; /* in the client's idle connections */
+  GList link; /* in idle_connections of the client */
 };
 
 struct fh_exchange
@@ -60,14 +59,14 @@
   connection_t *connection;
   fh_done_fn_t done;
   void *user;
-  GString *request;
-  fh_header_t echo; /* views of ECHO_TEXT */
-  char *echo_text;
+  GString *request_text;
+  fh_header_t echoed_header; /* views of echoed_header_text */
+  char *echoed_header_text;
   bool is_head;
   bool repeatable;
-  bool until_close;
+  bool allows_close_delimited;
   bool sent;
-  GList link; /* in the client's exchanges */
+  GList link; /* in exchanges of the client */
 };
 
 typedef struct
@@ -77,7 +76,7 @@
   GString *bytes;
 } write_t;
 
-static void start_exchange (fh_exchange_t *exchange, bool fresh);
+static void start_exchange (fh_exchange_t *exchange, bool new_connection);
 
 static void
 free_connection (uv_handle_t *handle)
@@ -98,7 +97,7 @@
   connection->closing = true;
   if (connection->link.data)
     {
-      g_queue_unlink (&connection->client->idle, &connection->link);
+      g_queue_unlink (&connection->client->idle_connections, &connection->link);
       connection->link.data = NULL;
     }
   if (connection->exchange)
@@ -112,8 +111,8 @@
 free_exchange (fh_exchange_t *exchange)
 {
   g_queue_unlink (&exchange->client->exchanges, &exchange->link);
-  g_string_free (exchange->request, TRUE);
-  g_free (exchange->echo_text);
+  g_string_free (exchange->request_text, TRUE);
+  g_free (exchange->echoed_header_text);
   g_free (exchange);
 }
 
@@ -124,19 +123,20 @@
   free_exchange (exchange);
 }
 
-/* Ends the exchange on CONNECTION, if any, and closes the connection. */
+/* Closes CONNECTION and fails its exchange, if any. A repeatable request that was sent on a
+ * reused connection is sent again instead if the server closed it without a response. */
 static void
 fail_connection (connection_t *connection, fh_result_t result, const char *error)
 {
   fh_exchange_t *exchange = connection->exchange;
   fh_response_t response = { .result = result, .error = error };
-  bool unused = connection->reused && !fh_has_begun (connection->reader);
+  bool stale = connection->reused && !fh_has_received_bytes (connection->reader);
 
   close_connection (connection);
   if (!exchange)
     return;
-  /* The server closed an idle connection as the request was on its way. */
-  if (unused && result == FH_NO_ANSWER && exchange->repeatable)
+  /* The server closed the idle connection while the request was being sent. */
+  if (stale && result == FH_NO_ANSWER && exchange->repeatable)
     start_exchange (exchange, true);
   else
     finish_exchange (exchange, &response);
@@ -148,146 +148,151 @@
   connection_t *connection = timer->data;
 
   if (!connection->exchange || !connection->exchange->sent)
-    fail_connection (connection, FH_NOT_SENT, "no connection within the limit");
+    fail_connection (connection, FH_NOT_SENT,
+                     "connection to the server not established in time");
   else if (fh_has_headers (connection->reader))
-    fail_connection (connection, FH_TRUNCATED, "response went silent");
+    fail_connection (connection, FH_TRUNCATED,
+                     "no further response data within the I/O timeout");
   else
     {
-      /* A silent server is no reason to send the request once more. */
+      /* After a time-out the server may still be running the request: do not send it again. */
       connection->reused = false;
-      fail_connection (connection, FH_NO_ANSWER, "no response within the limit");
+      fail_connection (connection, FH_NO_ANSWER, "no response within the I/O timeout");
     }
 }
 
 static void
-start_timer (connection_t *connection, uint64_t ms)
+start_timer (connection_t *connection, uint64_t timeout_ms)
 {
-  uv_timer_start (&connection->timer, expire_connection, ms, 0);
+  uv_timer_start (&connection->timer, expire_connection, timeout_ms, 0);
 }
 
-/* Returns the idle time in ms that the server announces in "Keep-Alive: timeout=SECONDS". */
+/* Returns the time in ms for which the connection may stay idle, from the header
+ * "Keep-Alive: timeout=SECONDS" of RESPONSE and IDLE_TIMEOUT_MS. */
 static uint64_t
-read_idle_time (const fh_response_t *response)
+parse_idle_timeout (const fh_response_t *response)
 {
   fb_str_t value
       = fh_find_header (response->headers, response->header_count, FB_LITERAL ("keep-alive"));
   char *text = g_ascii_strdown (value.data ? value.data : "", (gssize)value.len);
-  const char *found = strstr (text, "timeout=");
-  uint64_t ms = IDLE_TIMEOUT_MS;
+  const char *parameter = strstr (text, "timeout=");
+  uint64_t timeout_ms = IDLE_TIMEOUT_MS;
 
-  if (found)
-    ms = MIN (ms, (uint64_t)((double)g_ascii_strtoull (found + 8, NULL, 10) * 1000
-                             * KEEP_ALIVE_PART));
+  if (parameter)
+    timeout_ms = MIN (timeout_ms, (uint64_t)((double)g_ascii_strtoull (parameter + 8, NULL, 10)
+                                             * 1000 * KEEP_ALIVE_FRACTION));
   g_free (text);
-  return ms;
+  return timeout_ms;
 }
 
+/* Makes CONNECTION available for reuse, or closes it if enough idle connections exist. */
 static void
-keep_connection (connection_t *connection)
+release_connection (connection_t *connection)
 {
   fh_client_t *client = connection->client;
 
   connection->exchange = NULL;
-  if (client->idle.length >= client->idle_max || connection->idle_ms == 0)
+  if (client->idle_connections.length >= client->idle_max || connection->idle_timeout_ms == 0)
     {
       close_connection (connection);
       return;
     }
   connection->link.data = connection;
-  g_queue_push_head_link (&client->idle, &connection->link);
+  g_queue_push_head_link (&client->idle_connections, &connection->link);
   fh_reset_reader (connection->reader, false);
-  start_timer (connection, connection->idle_ms);
+  start_timer (connection, connection->idle_timeout_ms);
 }
 
-/* Returns whether RESPONSE answers the request of EXCHANGE. Without the header that the server
- * repeats, only the first response on a connection can be told. */
+/* Returns whether RESPONSE belongs to the request of EXCHANGE. A response without the echoed
+ * header is accepted only as the first response on a connection. */
 static bool
-is_own_answer (const fh_exchange_t *exchange, const fh_response_t *response)
+is_matching_response (const fh_exchange_t *exchange, const fh_response_t *response)
 {
   const connection_t *connection = exchange->connection;
   fb_str_t value;
 
-  if (exchange->echo.name.len == 0)
+  if (exchange->echoed_header.name.len == 0)
     return true;
-  value = fh_find_header (response->headers, response->header_count, exchange->echo.name);
+  value = fh_find_header (response->headers, response->header_count,
+                          exchange->echoed_header.name);
   if (!value.data)
-    return !connection->reused && !connection->tainted;
-  return fb_equal_str (value, exchange->echo.value);
+    return !connection->reused && !connection->out_of_sync;
+  return fb_equal_str (value, exchange->echoed_header.value);
 }
 
 static void
-end_response (connection_t *connection, bool reusable)
+complete_response (connection_t *connection, bool reusable)
 {
   fh_exchange_t *exchange = connection->exchange;
   fh_response_t response = { .result = FH_ANSWERED };
 
   fh_view_response (connection->reader, &response);
-  connection->idle_ms = read_idle_time (&response);
-  reusable = reusable && connection->writes == 0 && !connection->tainted
-             && fh_is_kept (connection->reader);
-  /* The callback reads the response out of the reader, so that the connection goes on after it.
-   */
+  connection->idle_timeout_ms = parse_idle_timeout (&response);
+  reusable = reusable && connection->pending_writes == 0 && !connection->out_of_sync
+             && fh_should_keep_alive (connection->reader);
+  /* The response views the reader's memory: reset the reader only after the callback. */
   connection->exchange = NULL;
   exchange->connection = NULL;
   finish_exchange (exchange, &response);
   if (reusable)
-    keep_connection (connection);
+    release_connection (connection);
   else
     close_connection (connection);
 }
 
 static void
-take_bytes (connection_t *connection, fb_bytes_t bytes)
+parse_bytes (connection_t *connection, fb_bytes_t bytes)
 {
   while (bytes.len > 0 && !connection->closing)
     {
       fh_response_t response = { 0 };
-      size_t used;
-      fh_read_t state = fh_feed_reader (connection->reader, bytes, &used);
+      size_t consumed;
+      fh_read_result_t result = fh_parse_bytes (connection->reader, bytes, &consumed);
 
-      if (state == FH_READ_MORE)
+      if (result == FH_READ_INCOMPLETE)
         return;
-      if (state == FH_READ_LARGE)
-        fail_connection (connection, FH_TOO_LARGE, "response over a limit");
-      else if (state == FH_READ_BAD)
+      if (result == FH_READ_TOO_LARGE)
+        fail_connection (connection, FH_TOO_LARGE,
+                         "response headers or body exceed the size limit");
+      else if (result == FH_READ_INVALID)
         {
           connection->reused = false;
           fail_connection (connection,
                            fh_has_headers (connection->reader) ? FH_TRUNCATED : FH_NO_ANSWER,
-                           "bytes are no response");
+                           "received bytes are not a valid HTTP response");
         }
-      if (state != FH_READ_DONE)
+      if (result != FH_READ_COMPLETE)
         return;
-      bytes = (fb_bytes_t){ bytes.data + used, bytes.len - used };
+      bytes = (fb_bytes_t){ bytes.data + consumed, bytes.len - consumed };
       fh_view_response (connection->reader, &response);
-      if (is_own_answer (connection->exchange, &response))
+      if (is_matching_response (connection->exchange, &response))
         {
-          end_response (connection, bytes.len == 0);
+          complete_response (connection, bytes.len == 0);
           return;
         }
-      connection->tainted = true;
+      connection->out_of_sync = true;
       fh_reset_reader (connection->reader, connection->exchange->is_head);
     }
 }
 
 static void
-end_stream (connection_t *connection, ssize_t error)
+handle_stream_end (connection_t *connection, ssize_t error)
 {
   fh_exchange_t *exchange = connection->exchange;
 
-  if (exchange && error == UV_EOF && exchange->until_close
-      && fh_end_reader (connection->reader) == FH_READ_DONE)
+  if (exchange && error == UV_EOF && exchange->allows_close_delimited
+      && fh_parse_end (connection->reader) == FH_READ_COMPLETE)
     {
-      end_response (connection, false);
+      complete_response (connection, false);
       return;
     }
   fail_connection (connection,
                    fh_has_headers (connection->reader) ? FH_TRUNCATED : FH_NO_ANSWER,
-                   "connection ended before the response");
+                   "connection closed before the response was complete");
 }
 
 static void
-provide_buffer (uv_handle_t *handle, size_t size, uv_buf_t *buffer)
+allocate_buffer (uv_handle_t *handle, size_t size, uv_buf_t *buffer)
 {
   static char bytes[64 * 1024];
 
@@ -302,29 +307,29 @@
   if (length == 0 || connection->closing)
     return;
   if (length < 0)
-    end_stream (connection, length);
+    handle_stream_end (connection, length);
   else if (!connection->exchange)
-    /* Bytes on an idle connection belong to no request. */
+    /* Unexpected bytes on an idle connection belong to no request. */
     close_connection (connection);
   else
     {
-      start_timer (connection, connection->client->io_ms);
-      take_bytes (connection, (fb_bytes_t){ (const uint8_t *)buffer->base, (size_t)length });
+      start_timer (connection, connection->client->io_timeout_ms);
+      parse_bytes (connection, (fb_bytes_t){ (const uint8_t *)buffer->base, (size_t)length });
     }
 }
 
 static void
-end_write (uv_write_t *request, int status)
+complete_write (uv_write_t *request, int status)
 {
   write_t *write = (write_t *)request;
 
-  write->connection->writes--;
+  write->connection->pending_writes--;
   g_string_free (write->bytes, TRUE);
   g_free (write);
 }
 
-/* Hands the request to the connection. A failed write shows as the end of the stream, after
- * whatever the server has answered. */
+/* Writes the request. Write errors are ignored: they also end the stream, and a response that
+ * the server sent before can still be read. */
 static void
 write_request (connection_t *connection)
 {
@@ -333,13 +338,15 @@
   uv_buf_t buffer;
 
   write->connection = connection;
-  write->bytes = g_string_new_len (exchange->request->str, (gssize)exchange->request->len);
+  write->bytes
+      = g_string_new_len (exchange->request_text->str, (gssize)exchange->request_text->len);
   buffer = uv_buf_init (write->bytes->str, (unsigned)write->bytes->len);
   exchange->sent = true;
-  connection->writes++;
-  start_timer (connection, connection->client->io_ms);
-  if (uv_write (&write->write, (uv_stream_t *)&connection->stream, &buffer, 1, end_write) != 0)
-    end_write (&write->write, UV_EIO);
+  connection->pending_writes++;
+  start_timer (connection, connection->client->io_timeout_ms);
+  if (uv_write (&write->write, (uv_stream_t *)&connection->stream, &buffer, 1, complete_write)
+      != 0)
+    complete_write (&write->write, UV_EIO);
 }
 
 static void
@@ -348,10 +355,11 @@
   setsockopt (descriptor, level, option, &value, sizeof value);
 }
 
-/* Has the operating system end the connection when the other end no longer acknowledges.
- * Without these options, which a system may lack, the time-outs of exchanges still hold. */
+/* Makes the operating system close the connection when the server no longer acknowledges data.
+ * Errors are ignored: on systems without these options the time-outs of exchanges still apply.
+ */
 static void
-probe_connection (connection_t *connection)
+detect_dead_peer (connection_t *connection)
 {
   uv_os_fd_t descriptor;
 
@@ -365,7 +373,7 @@
 }
 
 static void
-end_connect (uv_connect_t *request, int status)
+complete_connect (uv_connect_t *request, int status)
 {
   connection_t *connection = request->data;
 
@@ -373,12 +381,12 @@
     return;
   if (status != 0)
     {
-      fail_connection (connection, FH_NOT_SENT, "no connection");
+      fail_connection (connection, FH_NOT_SENT, "cannot connect to the server");
       return;
     }
   uv_tcp_nodelay (&connection->stream, 1);
-  probe_connection (connection);
-  uv_read_start ((uv_stream_t *)&connection->stream, provide_buffer, receive_bytes);
+  detect_dead_peer (connection);
+  uv_read_start ((uv_stream_t *)&connection->stream, allocate_buffer, receive_bytes);
   write_request (connection);
 }
 
@@ -398,23 +406,23 @@
   connection->open_handles = 2;
   connection->stream.data = connection;
   connection->timer.data = connection;
-  connection->connect.data = connection;
+  connection->connect_request.data = connection;
   exchange->connection = connection;
-  /* A connection that cannot even be started ends by its timer, as an exchange must not end
-   * within the call that starts it. */
-  if (uv_tcp_connect (&connection->connect, &connection->stream,
-                      (const struct sockaddr *)&client->to, end_connect)
+  /* If connecting fails at once, the timer reports it: the callback must not be called from
+   * within fh_send_request. */
+  if (uv_tcp_connect (&connection->connect_request, &connection->stream,
+                      (const struct sockaddr *)&client->server_address, complete_connect)
       != 0)
     start_timer (connection, 0);
   else
-    start_timer (connection, client->connect_ms);
+    start_timer (connection, client->connect_timeout_ms);
 }
 
 static void
-start_exchange (fh_exchange_t *exchange, bool fresh)
+start_exchange (fh_exchange_t *exchange, bool new_connection)
 {
   fh_client_t *client = exchange->client;
-  GList *link = fresh ? NULL : g_queue_pop_head_link (&client->idle);
+  GList *link = new_connection ? NULL : g_queue_pop_head_link (&client->idle_connections);
   connection_t *connection;
 
   if (!link)
@@ -432,7 +440,7 @@
 }
 
 static void
-append_line (GString *text, fb_str_t name, fb_str_t value)
+append_header (GString *text, fb_str_t name, fb_str_t value)
 {
   g_string_append_len (text, name.data, (gssize)name.len);
   g_string_append (text, ": ");
@@ -441,26 +449,26 @@
 }
 
 static GString *
-format_request (const fh_client_t *client, const fh_client_request_t *outgoing)
+format_request (const fh_client_t *client, const fh_client_request_t *request)
 {
-  GString *text = g_string_sized_new (512 + outgoing->body.len);
+  GString *text = g_string_sized_new (512 + request->body.len);
 
-  g_string_append_len (text, outgoing->method.data, (gssize)outgoing->method.len);
+  g_string_append_len (text, request->method.data, (gssize)request->method.len);
   g_string_append_c (text, ' ');
-  g_string_append_len (text, outgoing->path.data, (gssize)outgoing->path.len);
+  g_string_append_len (text, request->path.data, (gssize)request->path.len);
   g_string_append (text, " HTTP/1.1\r\n");
-  if (outgoing->host.len > 0)
-    append_line (text, FB_LITERAL ("host"), outgoing->host);
+  if (request->host.len > 0)
+    append_header (text, FB_LITERAL ("host"), request->host);
   else
     g_string_append_printf (text, "host: %s:%u\r\n", client->address.data, client->port);
-  g_string_append_printf (text, "content-length: %zu\r\n", outgoing->body.len);
-  for (size_t i = 0; i < outgoing->header_count; i++)
+  g_string_append_printf (text, "content-length: %zu\r\n", request->body.len);
+  for (size_t i = 0; i < request->header_count; i++)
     {
-      if (!fh_is_hop_header (outgoing->headers[i].name))
-        append_line (text, outgoing->headers[i].name, outgoing->headers[i].value);
+      if (!fh_is_hop_header (request->headers[i].name))
+        append_header (text, request->headers[i].name, request->headers[i].value);
     }
   g_string_append (text, "\r\n");
-  g_string_append_len (text, (const char *)outgoing->body.data, (gssize)outgoing->body.len);
+  g_string_append_len (text, (const char *)request->body.data, (gssize)request->body.len);
   return text;
 }
 
@@ -475,24 +483,24 @@
   client->port = port;
   client->idle_max = idle_max;
   client->body_max = body_max;
-  client->io_ms = (uint64_t)(io_timeout / FB_MILLISECOND);
-  client->connect_ms = client->io_ms;
-  if (uv_ip4_addr (address->data, port, (struct sockaddr_in *)&client->to) != 0)
-    uv_ip6_addr (address->data, port, (struct sockaddr_in6 *)&client->to);
+  client->io_timeout_ms = (uint64_t)(io_timeout / FB_MILLISECOND);
+  client->connect_timeout_ms = client->io_timeout_ms;
+  if (uv_ip4_addr (address->data, port, (struct sockaddr_in *)&client->server_address) != 0)
+    uv_ip6_addr (address->data, port, (struct sockaddr_in6 *)&client->server_address);
   return client;
 }
 
 void
 fh_set_connect_timeout (fh_client_t *client, fb_time_t timeout)
 {
-  client->connect_ms = (uint64_t)(timeout / FB_MILLISECOND);
+  client->connect_timeout_ms = (uint64_t)(timeout / FB_MILLISECOND);
 }
 
 void
 fh_close_idle (fh_client_t *client)
 {
-  while (client->idle.head)
-    close_connection (client->idle.head->data);
+  while (client->idle_connections.head)
+    close_connection (client->idle_connections.head->data);
 }
 
 void
@@ -510,32 +518,33 @@
 }
 
 fh_exchange_t *
-fh_send_request (fh_client_t *client, const fh_client_request_t *outgoing, fh_done_fn_t done,
+fh_send_request (fh_client_t *client, const fh_client_request_t *request, fh_done_fn_t done,
                  void *user)
 {
   fh_exchange_t *exchange = g_new0 (fh_exchange_t, 1);
-  const fh_header_t *echo = &outgoing->echoed_header;
+  const fh_header_t *echo = &request->echoed_header;
 
   exchange->client = client;
   exchange->done = done;
   exchange->user = user;
-  exchange->request = format_request (client, outgoing);
-  exchange->is_head = fb_equal_str (outgoing->method, FB_LITERAL ("HEAD"));
-  exchange->repeatable = outgoing->repeatable;
-  exchange->until_close = outgoing->allows_close_delimited;
+  exchange->request_text = format_request (client, request);
+  exchange->is_head = fb_equal_str (request->method, FB_LITERAL ("HEAD"));
+  exchange->repeatable = request->repeatable;
+  exchange->allows_close_delimited = request->allows_close_delimited;
   if (echo->name.len > 0)
     {
-      exchange->echo_text = g_malloc (echo->name.len + echo->value.len + 1);
-      memcpy (exchange->echo_text, echo->name.data, echo->name.len);
+      exchange->echoed_header_text = g_malloc (echo->name.len + echo->value.len + 1);
+      memcpy (exchange->echoed_header_text, echo->name.data, echo->name.len);
       if (echo->value.len > 0)
-        memcpy (exchange->echo_text + echo->name.len, echo->value.data, echo->value.len);
-      exchange->echo
-          = (fh_header_t){ { exchange->echo_text, echo->name.len },
-                           { exchange->echo_text + echo->name.len, echo->value.len } };
+        memcpy (exchange->echoed_header_text + echo->name.len, echo->value.data,
+                echo->value.len);
+      exchange->echoed_header
+          = (fh_header_t){ { exchange->echoed_header_text, echo->name.len },
+                           { exchange->echoed_header_text + echo->name.len, echo->value.len } };
     }
   exchange->link.data = exchange;
   g_queue_push_tail_link (&client->exchanges, &exchange->link);
-  start_exchange (exchange, outgoing->new_connection);
+  start_exchange (exchange, request->new_connection);
   return exchange;
 }
 
--- a/packages/http/source/http-response.c
+++ b/packages/http/source/http-response.c
@@ -1,36 +1,35 @@
-/* Reads HTTP/1 responses by http_parser. */
 #include "http-response.h"
 #include <glib.h>
 #include <http_parser.h>
 
-/* Most bytes of status line and headers. */
-#define HEAD_MAX (64 * 1024)
+/* Maximum size of header names and values of a response, in bytes. */
+#define HEADER_BYTES_MAX (64 * 1024)
 
-/* Where a header lies in the text. */
+/* Offsets of a header's name and value in the header text. */
 typedef struct
 {
-  size_t name;
+  size_t name_offset;
   size_t name_len;
-  size_t value;
+  size_t value_offset;
   size_t value_len;
-} place_t;
+} header_range_t;
 
 struct fh_reader
 {
   http_parser parser;
   size_t body_max;
   bool is_head;
-  bool begun;
-  bool headers;
-  bool whole;
-  bool large;
-  bool unframed;
-  bool kept;
-  bool in_value; /* the last piece belonged to a value */
-  GString *text;
+  bool received_bytes;
+  bool headers_complete;
+  bool complete;
+  bool too_large;
+  bool close_delimited;
+  bool keep_alive;
+  bool last_was_value; /* the next name fragment begins a new header */
+  GString *header_text;
   size_t header_count;
-  place_t places[FH_HEADERS_MAX];
-  fh_header_t views[FH_HEADERS_MAX];
+  header_range_t header_ranges[FH_HEADERS_MAX];
+  fh_header_t header_views[FH_HEADERS_MAX];
   GByteArray *body;
 };
 
@@ -40,54 +39,55 @@
   fh_reader_t *reader = parser->data;
 
   reader->header_count = 0;
-  reader->in_value = true;
-  g_string_truncate (reader->text, 0);
+  reader->last_was_value = true;
+  g_string_truncate (reader->header_text, 0);
   return 0;
 }
 
-/* Refuses the message as too large. */
+/* Makes http_parser fail because a size limit is exceeded. */
 static int
-stop_large (fh_reader_t *reader)
+reject_too_large (fh_reader_t *reader)
 {
-  reader->large = true;
+  reader->too_large = true;
   return 1;
 }
 
 static int
-take_name (http_parser *parser, const char *data, size_t len)
+append_header_name (http_parser *parser, const char *data, size_t len)
 {
   fh_reader_t *reader = parser->data;
-  place_t *place;
+  header_range_t *range;
 
-  if (reader->text->len + len > HEAD_MAX)
-    return stop_large (reader);
-  if (reader->in_value)
+  if (reader->header_text->len + len > HEADER_BYTES_MAX)
+    return reject_too_large (reader);
+  if (reader->last_was_value)
     {
       if (reader->header_count == FH_HEADERS_MAX)
-        return stop_large (reader);
-      reader->places[reader->header_count++] = (place_t){ .name = reader->text->len };
-      reader->in_value = false;
+        return reject_too_large (reader);
+      reader->header_ranges[reader->header_count++]
+          = (header_range_t){ .name_offset = reader->header_text->len };
+      reader->last_was_value = false;
     }
-  place = &reader->places[reader->header_count - 1];
+  range = &reader->header_ranges[reader->header_count - 1];
   for (size_t i = 0; i < len; i++)
-    g_string_append_c (reader->text, g_ascii_tolower (data[i]));
-  place->name_len += len;
+    g_string_append_c (reader->header_text, g_ascii_tolower (data[i]));
+  range->name_len += len;
   return 0;
 }
 
 static int
-take_value (http_parser *parser, const char *data, size_t len)
+append_header_value (http_parser *parser, const char *data, size_t len)
 {
   fh_reader_t *reader = parser->data;
-  place_t *place = &reader->places[reader->header_count - 1];
-
-  if (reader->text->len + len > HEAD_MAX)
-    return stop_large (reader);
-  if (!reader->in_value)
-    place->value = reader->text->len;
-  reader->in_value = true;
-  g_string_append_len (reader->text, data, (gssize)len);
-  place->value_len += len;
+  header_range_t *range = &reader->header_ranges[reader->header_count - 1];
+
+  if (reader->header_text->len + len > HEADER_BYTES_MAX)
+    return reject_too_large (reader);
+  if (!reader->last_was_value)
+    range->value_offset = reader->header_text->len;
+  reader->last_was_value = true;
+  g_string_append_len (reader->header_text, data, (gssize)len);
+  range->value_len += len;
   return 0;
 }
 
@@ -97,57 +97,57 @@
   return parser->status_code < 200;
 }
 
-/* Returns whether the body has no length of its own. */
+/* Returns whether the body ends with the connection. */
 static bool
-ends_with_stream (const http_parser *parser)
+is_close_delimited (const http_parser *parser)
 {
   return !(parser->flags & F_CHUNKED) && parser->content_length == UINT64_MAX
          && parser->status_code != 204 && parser->status_code != 304;
 }
 
 static int
-end_headers (http_parser *parser)
+complete_headers (http_parser *parser)
 {
   fh_reader_t *reader = parser->data;
 
   if (is_informational (parser))
     return 0;
-  reader->headers = true;
-  reader->unframed = ends_with_stream (parser) && !reader->is_head;
-  reader->kept = http_should_keep_alive (parser) != 0;
+  reader->headers_complete = true;
+  reader->close_delimited = is_close_delimited (parser) && !reader->is_head;
+  reader->keep_alive = http_should_keep_alive (parser) != 0;
   return reader->is_head ? 1 : 0;
 }
 
 static int
-take_body (http_parser *parser, const char *data, size_t len)
+append_body (http_parser *parser, const char *data, size_t len)
 {
   fh_reader_t *reader = parser->data;
 
   if (reader->body->len + len > reader->body_max)
-    return stop_large (reader);
+    return reject_too_large (reader);
   g_byte_array_append (reader->body, (const guint8 *)data, (guint)len);
   return 0;
 }
 
 static int
-end_message (http_parser *parser)
+complete_message (http_parser *parser)
 {
   fh_reader_t *reader = parser->data;
 
   if (is_informational (parser))
     return 0;
-  reader->whole = true;
+  reader->complete = true;
   http_parser_pause (parser, 1);
   return 0;
 }
 
-static const http_parser_settings hooks = {
+static const http_parser_settings parser_callbacks = {
   .on_message_begin = begin_message,
-  .on_header_field = take_name,
-  .on_header_value = take_value,
-  .on_headers_complete = end_headers,
-  .on_body = take_body,
-  .on_message_complete = end_message,
+  .on_header_field = append_header_name,
+  .on_header_value = append_header_value,
+  .on_headers_complete = complete_headers,
+  .on_body = append_body,
+  .on_message_complete = complete_message,
 };
 
 fh_reader_t *
@@ -156,7 +156,7 @@
   fh_reader_t *reader = g_new0 (fh_reader_t, 1);
 
   reader->body_max = body_max;
-  reader->text = g_string_new ("");
+  reader->header_text = g_string_new ("");
   reader->body = g_byte_array_new ();
   fh_reset_reader (reader, false);
   return reader;
@@ -167,7 +167,7 @@
 {
   if (!reader)
     return;
-  g_string_free (reader->text, TRUE);
+  g_string_free (reader->header_text, TRUE);
   g_byte_array_free (reader->body, TRUE);
   g_free (reader);
 }
@@ -178,58 +178,59 @@
   http_parser_init (&reader->parser, HTTP_RESPONSE);
   reader->parser.data = reader;
   reader->is_head = is_head;
-  reader->begun = false;
-  reader->headers = false;
-  reader->whole = false;
-  reader->large = false;
-  reader->unframed = false;
-  reader->kept = false;
+  reader->received_bytes = false;
+  reader->headers_complete = false;
+  reader->complete = false;
+  reader->too_large = false;
+  reader->close_delimited = false;
+  reader->keep_alive = false;
   reader->header_count = 0;
-  reader->in_value = true;
-  g_string_truncate (reader->text, 0);
+  reader->last_was_value = true;
+  g_string_truncate (reader->header_text, 0);
   g_byte_array_set_size (reader->body, 0);
 }
 
-fh_read_t
-fh_feed_reader (fh_reader_t *reader, fb_bytes_t bytes, size_t *used)
+fh_read_result_t
+fh_parse_bytes (fh_reader_t *reader, fb_bytes_t bytes, size_t *consumed)
 {
-  reader->begun = reader->begun || bytes.len > 0;
-  *used = http_parser_execute (&reader->parser, &hooks, (const char *)bytes.data, bytes.len);
-  if (reader->whole)
-    return FH_READ_DONE;
-  if (reader->large)
-    return FH_READ_LARGE;
-  /* An upgrade that nobody asked for leaves bytes that are no response. */
+  reader->received_bytes = reader->received_bytes || bytes.len > 0;
+  *consumed = http_parser_execute (&reader->parser, &parser_callbacks, (const char *)bytes.data,
+                                   bytes.len);
+  if (reader->complete)
+    return FH_READ_COMPLETE;
+  if (reader->too_large)
+    return FH_READ_TOO_LARGE;
+  /* After an upgrade, which the client never requests, the bytes are not HTTP. */
   if (HTTP_PARSER_ERRNO (&reader->parser) != HPE_OK || reader->parser.upgrade)
-    return FH_READ_BAD;
-  return FH_READ_MORE;
+    return FH_READ_INVALID;
+  return FH_READ_INCOMPLETE;
 }
 
-fh_read_t
-fh_end_reader (fh_reader_t *reader)
+fh_read_result_t
+fh_parse_end (fh_reader_t *reader)
 {
-  if (!reader->headers || !reader->unframed)
-    return FH_READ_BAD;
-  http_parser_execute (&reader->parser, &hooks, NULL, 0);
-  return reader->whole ? FH_READ_DONE : FH_READ_BAD;
+  if (!reader->headers_complete || !reader->close_delimited)
+    return FH_READ_INVALID;
+  http_parser_execute (&reader->parser, &parser_callbacks, NULL, 0);
+  return reader->complete ? FH_READ_COMPLETE : FH_READ_INVALID;
 }
 
 bool
-fh_has_begun (const fh_reader_t *reader)
+fh_has_received_bytes (const fh_reader_t *reader)
 {
-  return reader->begun;
+  return reader->received_bytes;
 }
 
 bool
 fh_has_headers (const fh_reader_t *reader)
 {
-  return reader->headers;
+  return reader->headers_complete;
 }
 
 bool
-fh_is_kept (const fh_reader_t *reader)
+fh_should_keep_alive (const fh_reader_t *reader)
 {
-  return reader->kept;
+  return reader->keep_alive;
 }
 
 void
@@ -237,15 +238,16 @@
 {
   for (size_t i = 0; i < reader->header_count; i++)
     {
-      const place_t *place = &reader->places[i];
+      const header_range_t *range = &reader->header_ranges[i];
 
-      reader->views[i]
-          = (fh_header_t){ { reader->text->str + place->name, place->name_len },
-                           { reader->text->str + place->value, place->value_len } };
+      reader->header_views[i]
+          = (fh_header_t){ { reader->header_text->str + range->name_offset, range->name_len },
+                           { reader->header_text->str + range->value_offset,
+                             range->value_len } };
     }
   response->status = reader->parser.status_code;
   response->header_count = reader->header_count;
-  response->headers = reader->views;
-  response->close_delimited = reader->unframed;
+  response->headers = reader->header_views;
+  response->close_delimited = reader->close_delimited;
   response->body = (fb_bytes_t){ reader->body->data, reader->body->len };
 }
--- a/packages/http/source/http-server.c
+++ b/packages/http/source/http-server.c
@@ -5,18 +5,16 @@
 #include <h2o/http2.h>
 #include <sys/socket.h>
 
-/* Time for a request to arrive whole, in ms; a slower sender is disconnected. */
+/* Default time limit for receiving a complete request; slower callers are disconnected. */
 #define REQUEST_TIMEOUT_MS 10000
 
 #define LISTEN_BACKLOG 1024
 
-/* Period in which connections of open requests are checked. h2o does not read from an HTTP/1
- * connection while its request is open, so that it does not notice that the caller has closed
- * it. */
-#define CANCEL_CHECK_PERIOD_MS 50
+/* Interval of the check for disconnected callers. It is needed because h2o does not read from
+ * an HTTP/1 connection while a request on it is unanswered. */
+#define DISCONNECT_CHECK_INTERVAL_MS 50
 
-/* Cancellations reported in one period. */
-#define CANCEL_BATCH 32
+#define CANCELLATIONS_PER_CHECK_MAX 32
 
 struct fh_server
 {
@@ -26,27 +24,28 @@
   h2o_accept_ctx_t accept;
   uv_tcp_t listener;
   bool listening;
-  bool ending; /* each response ends its connection, so that the process can stop */
+  bool keep_alive_disabled; /* close connections after their next response, so that the process
+                               can stop */
   fh_handler_fn_t handler;
   void *user;
   GQueue requests; /* fh_request_t not yet answered */
-  uv_timer_t cancel_check;
-  size_t connections;
-  fb_counter_t *late; /* requests whose callers had left before they were read */
+  uv_timer_t disconnect_check;
+  size_t connection_count;
+  fb_counter_t *closed_before_read; /* requests dropped: caller disconnected */
 };
 
-/* Lives in the request's pool and tells when the pool goes away. */
+/* Allocated in the request's pool; its disposal shows that h2o has freed the request. */
 typedef struct
 {
-  fh_request_t *request; /* NULL once answered */
-} guard_t;
+  fh_request_t *request; /* NULL once it is answered */
+} request_guard_t;
 
 struct fh_request
 {
   fh_server_t *server;
-  h2o_req_t *req; /* NULL once the connection is gone */
-  guard_t *guard;
-  GList link; /* in the server's requests */
+  h2o_req_t *req; /* NULL once the connection is closed */
+  request_guard_t *guard;
+  GList link; /* in requests of the server */
   fh_cancelled_fn_t cancelled;
   void *cancel_user;
   size_t header_count;
@@ -59,9 +58,9 @@
   fh_server_t *server;
 } handler_t;
 
-/* Tells the owner of REQUEST, at most once, that its caller is gone. */
+/* Notifies the owner of REQUEST, at most once, that the caller has disconnected. */
 static void
-report_cancel (fh_request_t *request)
+notify_cancelled (fh_request_t *request)
 {
   fh_cancelled_fn_t cancelled = request->cancelled;
 
@@ -73,19 +72,18 @@
 static void
 dispose_guard (void *data)
 {
-  guard_t *guard = data;
+  request_guard_t *guard = data;
   fh_request_t *request = guard->request;
 
   if (!request)
     return;
   request->req = NULL;
   request->header_count = 0;
-  report_cancel (request);
+  notify_cancelled (request);
 }
 
-/* Returns whether the caller has closed the connection of an open request. */
 static bool
-is_closed (h2o_req_t *req)
+is_caller_disconnected (h2o_req_t *req)
 {
   char byte;
   int descriptor = h2o_socket_get_fd (req->conn->callbacks->get_socket (req->conn));
@@ -94,26 +92,28 @@
 }
 
 static fh_request_t *
-find_cancelled (fh_server_t *server)
+find_disconnected (fh_server_t *server)
 {
   for (GList *link = server->requests.head; link; link = link->next)
     {
       fh_request_t *request = link->data;
-      if (request->req && request->cancelled && is_closed (request->req))
+      if (request->req && request->cancelled && is_caller_disconnected (request->req))
         return request;
     }
   return NULL;
 }
 
-/* An owner that is told may end other requests too, so that each search starts anew. */
+/* A cancelled callback may answer other requests as well, so each search starts from the head
+ * of the list. */
 static void
-check_cancelled (uv_timer_t *timer)
+check_disconnected (uv_timer_t *timer)
 {
   fh_server_t *server = timer->data;
   fh_request_t *request;
 
-  for (int i = 0; i < CANCEL_BATCH && (request = find_cancelled (server)); i++)
-    report_cancel (request);
+  for (int i = 0; i < CANCELLATIONS_PER_CHECK_MAX && (request = find_disconnected (server));
+       i++)
+    notify_cancelled (request);
   if (server->requests.length == 0)
     uv_timer_stop (timer);
 }
@@ -123,7 +123,7 @@
 {
   fh_server_t *server = ((handler_t *)super)->server;
   fh_request_t *request;
-  guard_t *guard;
+  request_guard_t *guard;
 
   if (req->headers.size > FH_HEADERS_MAX)
     {
@@ -131,10 +131,10 @@
                               0);
       return 0;
     }
-  /* After a stall of the process the caller may have left before its request is read. */
-  if (is_closed (req))
+  /* After a stall of the process, the caller may have disconnected already. */
+  if (is_caller_disconnected (req))
     {
-      fb_add_counter (server->late, 1);
+      fb_add_counter (server->closed_before_read, 1);
       h2o_send_error_generic (req, 408, "Request Timeout", "the caller has left\n", 0);
       return 0;
     }
@@ -153,14 +153,14 @@
   request->guard = guard;
   request->link.data = request;
   g_queue_push_tail_link (&server->requests, &request->link);
-  if (!uv_is_active ((uv_handle_t *)&server->cancel_check))
-    uv_timer_start (&server->cancel_check, check_cancelled, CANCEL_CHECK_PERIOD_MS,
-                    CANCEL_CHECK_PERIOD_MS);
+  if (!uv_is_active ((uv_handle_t *)&server->disconnect_check))
+    uv_timer_start (&server->disconnect_check, check_disconnected, DISCONNECT_CHECK_INTERVAL_MS,
+                    DISCONNECT_CHECK_INTERVAL_MS);
   server->handler (request, server->user);
   return 0;
 }
 
-/* Adds HEADER to the response in memory of the request. */
+/* Copies HEADER to the response, unless h2o generates that header. */
 static void
 add_header (h2o_req_t *req, const fh_header_t *header)
 {
@@ -177,7 +177,7 @@
 }
 
 static const char *
-describe_code (uint32_t status)
+get_reason_phrase (uint32_t status)
 {
   switch (status)
     {
@@ -200,8 +200,8 @@
     }
 }
 
-/* The handle comes first: h2o takes over its data pointer, so that the server is found by the
- * address. */
+/* h2o overwrites the data pointer of HANDLE. It is the first member, so that a pointer to it
+ * converts to the connection. */
 typedef struct
 {
   uv_tcp_t handle;
@@ -209,11 +209,11 @@
 } connection_t;
 
 static void
-close_connection (uv_handle_t *handle)
+free_connection (uv_handle_t *handle)
 {
   connection_t *connection = (connection_t *)handle;
 
-  connection->server->connections--;
+  connection->server->connection_count--;
   g_free (connection);
 }
 
@@ -228,29 +228,29 @@
   connection = g_new0 (connection_t, 1);
   uv_tcp_init (listener->loop, &connection->handle);
   connection->server = server;
-  server->connections++;
+  server->connection_count++;
   if (uv_accept (listener, (uv_stream_t *)connection) != 0)
     {
-      uv_close ((uv_handle_t *)connection, close_connection);
+      uv_close ((uv_handle_t *)connection, free_connection);
       return;
     }
   uv_tcp_nodelay (&connection->handle, 1);
   h2o_accept (&server->accept,
-              h2o_uv_socket_create ((uv_stream_t *)connection, close_connection));
+              h2o_uv_socket_create ((uv_stream_t *)connection, free_connection));
 }
 
 static int
 start_listener (fh_server_t *server, const fb_name_t *address, uint16_t port)
 {
-  struct sockaddr_storage bound;
+  struct sockaddr_storage bind_address;
   int error = UV_EINVAL;
 
   uv_tcp_init (fk_get_loop (server->kernel), &server->listener);
   server->listener.data = server;
   server->listening = true;
-  if (uv_ip4_addr (address->data, port, (struct sockaddr_in *)&bound) == 0
-      || uv_ip6_addr (address->data, port, (struct sockaddr_in6 *)&bound) == 0)
-    error = uv_tcp_bind (&server->listener, (struct sockaddr *)&bound, 0);
+  if (uv_ip4_addr (address->data, port, (struct sockaddr_in *)&bind_address) == 0
+      || uv_ip6_addr (address->data, port, (struct sockaddr_in6 *)&bind_address) == 0)
+    error = uv_tcp_bind (&server->listener, (struct sockaddr *)&bind_address, 0);
   if (error == 0)
     error = uv_listen ((uv_stream_t *)&server->listener, LISTEN_BACKLOG, accept_connection);
   return error;
@@ -262,11 +262,12 @@
 {
   fh_server_t *server = g_new0 (fh_server_t, 1);
   h2o_hostconf_t *host;
-  handler_t *entry;
+  handler_t *h2o_handler;
   int error;
 
   server->kernel = kernel;
-  server->late = fb_find_counter (fk_get_counters (kernel), "http_callers_gone", "");
+  server->closed_before_read
+      = fb_find_counter (fk_get_counters (kernel), "http_callers_gone", "");
   server->handler = handler;
   server->user = user;
   h2o_config_init (&server->config);
@@ -275,15 +276,15 @@
   server->config.server_name = h2o_iovec_init (H2O_STRLIT ("foxtailrun"));
   host = h2o_config_register_host (&server->config, h2o_iovec_init (H2O_STRLIT ("default")),
                                    65535);
-  entry = (handler_t *)h2o_create_handler (h2o_config_register_path (host, "/", 0),
-                                           sizeof *entry);
-  entry->super.on_req = handle_request;
-  entry->server = server;
+  h2o_handler = (handler_t *)h2o_create_handler (h2o_config_register_path (host, "/", 0),
+                                                 sizeof *h2o_handler);
+  h2o_handler->super.on_req = handle_request;
+  h2o_handler->server = server;
   h2o_context_init (&server->context, fk_get_loop (kernel), &server->config);
   server->accept.ctx = &server->context;
   server->accept.hosts = server->config.hosts;
-  uv_timer_init (fk_get_loop (kernel), &server->cancel_check);
-  server->cancel_check.data = server;
+  uv_timer_init (fk_get_loop (kernel), &server->disconnect_check);
+  server->disconnect_check.data = server;
   error = start_listener (server, address, port);
   if (error == 0)
     return server;
@@ -297,13 +298,13 @@
 void
 fh_disable_keep_alive (fh_server_t *server)
 {
-  server->ending = true;
+  server->keep_alive_disabled = true;
 }
 
 void
 fh_stop_accepting (fh_server_t *server)
 {
-  server->ending = true;
+  server->keep_alive_disabled = true;
   if (!server->listening)
     return;
   server->listening = false;
@@ -375,13 +376,12 @@
   request->cancel_user = user;
 }
 
-/* HTTP/1.0 as h2o counts versions; it puts a body without a length into chunks for any later
- * one. */
-#define VERSION_UNCHUNKED 0x100
+/* In h2o's encoding. Later versions make h2o send a body without a length in chunks. */
+#define HTTP_VERSION_1_0 0x100
 
 static void
 send_response (fh_request_t *request, uint32_t status, const fh_header_t *headers, size_t count,
-               fb_bytes_t body, bool framed)
+               fb_bytes_t body, bool has_length)
 {
   h2o_req_t *req = request->req;
 
@@ -390,14 +390,14 @@
     {
       request->guard->request = NULL;
       req->res.status = (int)status;
-      req->res.reason = describe_code (status);
-      if (framed)
+      req->res.reason = get_reason_phrase (status);
+      if (has_length)
         req->res.content_length = body.len;
       else
-        req->version = VERSION_UNCHUNKED;
+        req->version = HTTP_VERSION_1_0;
       for (size_t i = 0; i < count; i++)
         add_header (req, &headers[i]);
-      if (request->server->ending || !framed)
+      if (request->server->keep_alive_disabled || !has_length)
         req->http1_is_persistent = 0;
       h2o_send_inline (req, (const char *)body.data, body.len);
     }
--- a/packages/http/tests/test-http.c
+++ b/packages/http/tests/test-http.c
@@ -1,4 +1,4 @@
-/* The HTTP server and client against each other, and against raw answers on a socket. */
+/* Tests the HTTP client against the HTTP server and against raw responses on a socket. */
 #include <foxtailrun/http/client.h>
 #include <foxtailrun/http/server.h>
 #include <glib.h>
@@ -14,38 +14,39 @@
   fh_server_t *server;
   fh_client_t *client;
   uint16_t port;
-  uv_tcp_t raw;           /* listener that answers with raw bytes */
-  const char *raw_answer; /* what it writes before it closes */
-  fh_request_t *held;     /* request that the handler keeps */
-  bool hold;
-  size_t cancelled;
-  size_t ended;
+  uv_tcp_t raw_listener;          /* listens for connections that get raw_response */
+  const char *raw_response;       /* written to a connection before it is closed */
+  fh_request_t *deferred_request; /* request left unanswered by the handler */
+  bool defer_response;
+  size_t cancelled_count;
+  size_t response_count;
   fh_result_t result;
   uint32_t status;
   GString *body;
 } fixture_t;
 
 static void
-expire (void *user)
+fail_on_timeout (void *user)
 {
-  g_error ("no answer within the test's limit");
+  g_error ("no response within the test's time limit of 20 s");
 }
 
 static void
-run (fixture_t *fixture)
+run_until_quit (fixture_t *fixture)
 {
-  fk_timer_t *limit = fk_create_timeout (fixture->kernel, 20 * FB_SECOND, expire, NULL);
+  fk_timer_t *timeout
+      = fk_create_timeout (fixture->kernel, 20 * FB_SECOND, fail_on_timeout, NULL);
 
   fk_run (fixture->kernel);
-  fk_destroy_timer (limit);
+  fk_destroy_timer (timeout);
 }
 
 static void
-quit_when_cancelled (fh_request_t *request, void *user)
+respond_when_cancelled (fh_request_t *request, void *user)
 {
   fixture_t *fixture = user;
 
-  fixture->cancelled++;
+  fixture->cancelled_count++;
   fh_respond (request, 200, NULL, 0, (fb_bytes_t){ NULL, 0 });
   fk_quit (fixture->kernel);
 }
@@ -59,17 +60,17 @@
   fixture_t *fixture = user;
   fb_bytes_t body = fh_get_body (request);
 
-  if (fixture->hold)
+  if (fixture->defer_response)
     {
-      fixture->held = request;
-      fh_set_cancelled_handler (request, quit_when_cancelled, fixture);
+      fixture->deferred_request = request;
+      fh_set_cancelled_handler (request, respond_when_cancelled, fixture);
       fk_quit (fixture->kernel);
       return;
     }
   fh_respond (request, 200, headers, G_N_ELEMENTS (headers), body);
 }
 
-/* Starts the server on a port that the operating system picks. */
+/* Starts the server, unless raw_response is set, on a free port. */
 static void
 set_up (fixture_t *fixture)
 {
@@ -87,7 +88,7 @@
   fixture->port = ntohs (bound.sin_port);
   uv_close ((uv_handle_t *)&probe, NULL);
   uv_run (fk_get_loop (fixture->kernel), UV_RUN_NOWAIT);
-  if (!fixture->raw_answer)
+  if (!fixture->raw_response)
     {
       fixture->server = fh_create_server (fixture->kernel, &address, fixture->port, BODY_MAX,
                                           echo_request, fixture);
@@ -109,11 +110,11 @@
 }
 
 static void
-receive (const fh_response_t *response, void *user)
+store_response (const fh_response_t *response, void *user)
 {
   fixture_t *fixture = user;
 
-  fixture->ended++;
+  fixture->response_count++;
   fixture->result = response->result;
   fixture->status = response->status;
   g_string_truncate (fixture->body, 0);
@@ -126,24 +127,24 @@
 }
 
 static fh_exchange_t *
-send_body (fixture_t *fixture, const char *body, size_t len, bool fresh)
+send_body (fixture_t *fixture, const char *body, size_t len, bool new_connection)
 {
-  fh_client_request_t outgoing = { .method = FB_LITERAL ("POST"),
-                                   .path = FB_LITERAL ("/x"),
-                                   .body = { (const uint8_t *)body, len },
-                                   .new_connection = fresh };
+  fh_client_request_t request = { .method = FB_LITERAL ("POST"),
+                                  .path = FB_LITERAL ("/x"),
+                                  .body = { (const uint8_t *)body, len },
+                                  .new_connection = new_connection };
 
-  return fh_send_request (fixture->client, &outgoing, receive, fixture);
+  return fh_send_request (fixture->client, &request, store_response, fixture);
 }
 
-/* Guards against bodies that change, get lost or are taken over the limit. */
+/* Guards against bodies that are altered, lost or accepted although they exceed the limit. */
 static void
 test_bodies (void)
 {
   static const struct
   {
     size_t len;
-    bool fresh;
+    bool new_connection;
     uint32_t status;
   } cases[]
       = { { 0, false, 200 },        { 1, false, 200 },       { 1, true, 200 },
@@ -155,89 +156,91 @@
   set_up (&fixture);
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      send_body (&fixture, body, cases[i].len, cases[i].fresh);
-      run (&fixture);
+      send_body (&fixture, body, cases[i].len, cases[i].new_connection);
+      run_until_quit (&fixture);
       g_assert_cmpint (fixture.result, ==, FH_ANSWERED);
       g_assert_cmpuint (fixture.status, ==, cases[i].status);
       if (cases[i].status == 200)
         g_assert_cmpmem (fixture.body->str, fixture.body->len, body, cases[i].len);
     }
-  g_assert_cmpuint (fixture.ended, ==, G_N_ELEMENTS (cases));
+  g_assert_cmpuint (fixture.response_count, ==, G_N_ELEMENTS (cases));
   tear_down (&fixture);
   g_free (body);
 }
 
-/* A connection that writes the raw answer in the parts that "|" separates, and closes. */
+/* A connection that writes raw_response in the fragments separated by "|" and is then closed.
+ */
 typedef struct
 {
   uv_tcp_t stream;
   fixture_t *fixture;
-  const char *rest;
+  const char *remaining;
   fk_timer_t *timer;
 } raw_connection_t;
 
 static void
-close_raw (uv_write_t *write, int status)
+free_write (uv_write_t *write, int status)
 {
   g_free (write);
 }
 
 static void
-write_part (void *user)
+write_fragment (void *user)
 {
   raw_connection_t *raw = user;
-  size_t len = strcspn (raw->rest, "|");
-  uv_buf_t part = uv_buf_init ((char *)raw->rest, (unsigned)len);
+  size_t len = strcspn (raw->remaining, "|");
+  uv_buf_t fragment = uv_buf_init ((char *)raw->remaining, (unsigned)len);
 
-  uv_write (g_new0 (uv_write_t, 1), (uv_stream_t *)&raw->stream, &part, 1, close_raw);
+  uv_write (g_new0 (uv_write_t, 1), (uv_stream_t *)&raw->stream, &fragment, 1, free_write);
   fk_destroy_timer (raw->timer);
-  raw->rest += len;
-  if (*raw->rest == '\0')
+  raw->remaining += len;
+  if (*raw->remaining == '\0')
     {
       uv_close ((uv_handle_t *)&raw->stream, (uv_close_cb)g_free);
       return;
     }
-  raw->rest++;
-  raw->timer = fk_create_timeout (raw->fixture->kernel, 5 * FB_MILLISECOND, write_part, raw);
+  raw->remaining++;
+  raw->timer
+      = fk_create_timeout (raw->fixture->kernel, 5 * FB_MILLISECOND, write_fragment, raw);
 }
 
 static void
-discard (uv_handle_t *handle, size_t size, uv_buf_t *buffer)
+allocate_buffer (uv_handle_t *handle, size_t size, uv_buf_t *buffer)
 {
   static char bytes[4096];
 
   *buffer = uv_buf_init (bytes, sizeof bytes);
 }
 
-/* Answers the first bytes of a request with the raw answer and closes. */
+/* Starts the raw response when the first bytes of a request arrive. */
 static void
-answer_raw (uv_stream_t *stream, ssize_t length, const uv_buf_t *buffer)
+send_raw_response (uv_stream_t *stream, ssize_t length, const uv_buf_t *buffer)
 {
   raw_connection_t *raw = (raw_connection_t *)stream;
 
   uv_read_stop (stream);
-  raw->rest = raw->fixture->raw_answer;
-  write_part (raw);
+  raw->remaining = raw->fixture->raw_response;
+  write_fragment (raw);
 }
 
 static void
-accept_raw (uv_stream_t *listener, int status)
+accept_raw_connection (uv_stream_t *listener, int status)
 {
   raw_connection_t *raw = g_new0 (raw_connection_t, 1);
 
   raw->fixture = listener->data;
   uv_tcp_init (listener->loop, &raw->stream);
   uv_accept (listener, (uv_stream_t *)&raw->stream);
-  uv_read_start ((uv_stream_t *)&raw->stream, discard, answer_raw);
+  uv_read_start ((uv_stream_t *)&raw->stream, allocate_buffer, send_raw_response);
 }
 
-/* Guards against an answer that broke off being taken for a whole one. */
+/* Guards against a truncated response that is accepted as complete. */
 static void
-test_cut_answers (void)
+test_truncated_responses (void)
 {
   static const struct
   {
-    const char *answer;
+    const char *response;
     fh_result_t result;
   } cases[] = {
     { "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc", FH_ANSWERED },
@@ -271,77 +274,80 @@
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      fixture_t fixture = { .raw_answer = cases[i].answer };
+      fixture_t fixture = { .raw_response = cases[i].response };
       struct sockaddr_in address;
 
       set_up (&fixture);
-      uv_tcp_init (fk_get_loop (fixture.kernel), &fixture.raw);
-      fixture.raw.data = &fixture;
+      uv_tcp_init (fk_get_loop (fixture.kernel), &fixture.raw_listener);
+      fixture.raw_listener.data = &fixture;
       uv_ip4_addr ("127.0.0.1", fixture.port, &address);
-      g_assert_cmpint (uv_tcp_bind (&fixture.raw, (struct sockaddr *)&address, 0), ==, 0);
-      g_assert_cmpint (uv_listen ((uv_stream_t *)&fixture.raw, 4, accept_raw), ==, 0);
+      g_assert_cmpint (uv_tcp_bind (&fixture.raw_listener, (struct sockaddr *)&address, 0), ==,
+                       0);
+      g_assert_cmpint (
+          uv_listen ((uv_stream_t *)&fixture.raw_listener, 4, accept_raw_connection), ==, 0);
       send_body (&fixture, "q", 1, true);
-      run (&fixture);
+      run_until_quit (&fixture);
       g_test_message ("case %zu: result %d, expected %d", i, fixture.result, cases[i].result);
       g_assert_cmpint (fixture.result, ==, cases[i].result);
       tear_down (&fixture);
     }
 }
 
-/* Guards against a request being counted as sent when nothing listens. */
+/* Guards against a request that is reported as sent although nothing listens. */
 static void
 test_not_sent (void)
 {
-  fixture_t fixture = { .raw_answer = "unused" };
+  fixture_t fixture = { .raw_response = "unused" };
 
   set_up (&fixture);
   send_body (&fixture, "q", 1, false);
-  run (&fixture);
+  run_until_quit (&fixture);
   g_assert_cmpint (fixture.result, ==, FH_NOT_SENT);
   tear_down (&fixture);
 }
 
-/* Guards against a handler that answers into a connection that is gone. */
+/* Guards against a response that is written to a connection that the caller has closed. */
 static void
 test_cancel (void)
 {
-  fixture_t fixture = { .hold = true };
+  fixture_t fixture = { .defer_response = true };
   fh_exchange_t *exchange;
 
   set_up (&fixture);
   exchange = send_body (&fixture, "q", 1, true);
-  run (&fixture);
-  g_assert_nonnull (fixture.held);
+  run_until_quit (&fixture);
+  g_assert_nonnull (fixture.deferred_request);
   g_assert_cmpuint (fh_count_requests (fixture.server), ==, 1);
   g_assert_true (fh_cancel_exchange (exchange));
-  run (&fixture);
-  g_assert_cmpuint (fixture.cancelled, ==, 1);
-  g_assert_cmpuint (fixture.ended, ==, 0);
+  run_until_quit (&fixture);
+  g_assert_cmpuint (fixture.cancelled_count, ==, 1);
+  g_assert_cmpuint (fixture.response_count, ==, 0);
   g_assert_cmpuint (fh_count_requests (fixture.server), ==, 0);
   tear_down (&fixture);
 }
 
-/* Guards against a request that is worked on although its caller left before it was read, as
- * after a stall of the process. */
+/* Guards against passing a request to the handler although its caller disconnected before it
+ * was read, as happens after a stall of the process. */
 static void
-test_gone_before (void)
+test_closed_before_read (void)
 {
   fixture_t fixture = { 0 };
-  fb_counter_t *late;
+  fb_counter_t *closed_before_read;
   struct sockaddr_in address;
   int descriptor = socket (AF_INET, SOCK_STREAM, 0);
   static const char request[] = "GET /x HTTP/1.1\r\nhost: a\r\n\r\n";
 
   set_up (&fixture);
-  fixture.hold = true;
-  late = fb_find_counter (fk_get_counters (fixture.kernel), "http_callers_gone", "");
+  fixture.defer_response = true;
+  closed_before_read
+      = fb_find_counter (fk_get_counters (fixture.kernel), "http_callers_gone", "");
   uv_ip4_addr ("127.0.0.1", fixture.port, &address);
   g_assert_cmpint (connect (descriptor, (struct sockaddr *)&address, sizeof address), ==, 0);
   g_assert_cmpint (write (descriptor, request, strlen (request)), ==, strlen (request));
   close (descriptor);
-  while (fb_get_counter (late) == 0)
+  while (fb_get_counter (closed_before_read) == 0)
     uv_run (fk_get_loop (fixture.kernel), UV_RUN_ONCE);
-  g_assert_null (fixture.held);
+  g_assert_null (fixture.deferred_request);
   tear_down (&fixture);
 }
 
@@ -350,9 +356,9 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/http/bodies", test_bodies);
-  g_test_add_func ("/http/cut-answers", test_cut_answers);
+  g_test_add_func ("/http/truncated-responses", test_truncated_responses);
   g_test_add_func ("/http/not-sent", test_not_sent);
   g_test_add_func ("/http/cancel", test_cancel);
-  g_test_add_func ("/http/gone-before", test_gone_before);
+  g_test_add_func ("/http/closed-before-read", test_closed_before_read);
   return g_test_run ();
 }
