--- a/packages/transport/source/transport-bus.c
+++ b/packages/transport/source/transport-bus.c
@@ -5,24 +5,25 @@
 #include <string.h>
 #include <zmq.h>
 
-/* Messages that wait in one direction before a sender is refused. */
+/* Maximum number of messages queued per connection and direction; a DEALER refuses further
+ * ones. */
 #define HIGH_WATER_MARK 10000
 
-/* Time for answers still to be written when the bus closes, in ms. */
+/* Time for queued messages of the ROUTER to be written when the bus is closed. */
 #define LINGER_MS 1000
 
-/* Connections without traffic for this long are closed, to bound descriptors and memory. */
-#define IDLE_LIMIT (60 * FB_SECOND)
+/* Unused connections are closed after this time, to limit descriptors and memory. */
+#define IDLE_TIMEOUT (60 * FB_SECOND)
 
-#define SWEEP_PERIOD (50 * FB_MILLISECOND)
-#define IDLE_PERIOD (5 * FB_SECOND)
+#define PENDING_CHECK_INTERVAL (50 * FB_MILLISECOND)
+#define IDLE_CHECK_INTERVAL (5 * FB_SECOND)
 
 typedef struct
 {
-  fb_time_t expires;
+  fb_time_t expires_at;
   GBytes *header;
   GBytes *body;
-} pending_t;
+} pending_message_t;
 
 typedef struct
 {
@@ -31,7 +32,7 @@
   uint16_t port;
   ft_socket_t *dealer;
   ft_socket_t *monitor;
-  GQueue pending; /* messages that wait for the connection */
+  GQueue pending_messages; /* pending_message_t, oldest first, waiting for the connection */
   fb_time_t last_used;
 } peer_t;
 
@@ -40,19 +41,19 @@
   fk_kernel_t *kernel;
   char *name;
   void *context;
-  ft_message_fn_t received_hook;
+  ft_message_fn_t message_callback;
   void *user;
   ft_socket_t *router;
-  GHashTable *peers; /* "address:port" to peer_t */
-  fk_timer_t *sweep; /* runs while messages wait for a connection */
-  fk_timer_t *idle;
-  fb_counter_t *sent;
-  fb_counter_t *received;
+  GHashTable *peers;         /* "address:port" to peer_t */
+  fk_timer_t *pending_timer; /* active while messages wait for a connection */
+  fk_timer_t *idle_timer;
+  fb_counter_t *sent_bytes;
+  fb_counter_t *received_bytes;
   uint64_t monitor_count;
 };
 
 static void
-free_pending (pending_t *pending)
+free_pending_message (pending_message_t *pending)
 {
   g_bytes_unref (pending->header);
   g_bytes_unref (pending->body);
@@ -64,9 +65,9 @@
 {
   if (!ft_write_socket (peer->dealer, header, true))
     return false;
-  /* The second frame belongs to a message already accepted, so that it cannot be refused. */
+  /* ZeroMQ never refuses further frames of a message whose first frame it has accepted. */
   ft_write_socket (peer->dealer, body, false);
-  fb_add_counter (bus->sent, header.len + body.len);
+  fb_add_counter (bus->sent_bytes, header.len + body.len);
   return true;
 }
 
@@ -82,19 +83,19 @@
 static void
 flush_pending (peer_t *peer)
 {
-  while (!g_queue_is_empty (&peer->pending))
+  while (!g_queue_is_empty (&peer->pending_messages))
     {
-      pending_t *pending = g_queue_peek_head (&peer->pending);
+      pending_message_t *pending = g_queue_peek_head (&peer->pending_messages);
       if (!write_frames (peer->bus, peer, view_bytes (pending->header),
                          view_bytes (pending->body)))
         return;
-      free_pending (g_queue_pop_head (&peer->pending));
+      free_pending_message (g_queue_pop_head (&peer->pending_messages));
     }
 }
 
-/* Nothing is answered on a DEALER; what wakes it shows that the connection is there. */
+/* Peers send no replies: a message on a DEALER only shows that it is connected. */
 static void
-note_traffic (ft_frames_t *frames, void *user)
+handle_dealer_message (ft_frames_t *frames, void *user)
 {
   peer_t *peer = user;
   ft_bus_t *bus = peer->bus;
@@ -104,7 +105,7 @@
 }
 
 static void
-receive_event (ft_frames_t *frames, void *user)
+handle_monitor_event (ft_frames_t *frames, void *user)
 {
   peer_t *peer = user;
   uint16_t event = 0;
@@ -117,15 +118,15 @@
 }
 
 static void
-receive_message (ft_frames_t *frames, void *user)
+handle_router_message (ft_frames_t *frames, void *user)
 {
   ft_bus_t *bus = user;
 
-  /* The first frame is the sender's address on the ROUTER. */
+  /* The first frame is the ROUTER's identity of the sender. */
   if (frames->count != 3)
     return;
-  fb_add_counter (bus->received, frames->frame[1].len + frames->frame[2].len);
-  bus->received_hook (frames->frame[1], frames->frame[2], bus->user);
+  fb_add_counter (bus->received_bytes, frames->frame[1].len + frames->frame[2].len);
+  bus->message_callback (frames->frame[1], frames->frame[2], bus->user);
 }
 
 static void
@@ -135,52 +136,52 @@
 
   ft_destroy_socket (peer->monitor);
   ft_destroy_socket (peer->dealer);
-  g_queue_clear_full (&peer->pending, (GDestroyNotify)free_pending);
+  g_queue_clear_full (&peer->pending_messages, (GDestroyNotify)free_pending_message);
   g_free (peer);
 }
 
 static void
-set_heartbeat (void *socket)
+set_socket_options (void *socket)
 {
-  int interval = FT_HEARTBEAT_TIMEOUT_MS / 3;
-  int silence = FT_HEARTBEAT_TIMEOUT_MS;
-  int high = HIGH_WATER_MARK;
-
-  zmq_setsockopt (socket, ZMQ_HEARTBEAT_IVL, &interval, sizeof interval);
-  zmq_setsockopt (socket, ZMQ_HEARTBEAT_TIMEOUT, &silence, sizeof silence);
-  zmq_setsockopt (socket, ZMQ_HEARTBEAT_TTL, &silence, sizeof silence);
-  zmq_setsockopt (socket, ZMQ_HANDSHAKE_IVL, &silence, sizeof silence);
-  zmq_setsockopt (socket, ZMQ_SNDHWM, &high, sizeof high);
-  zmq_setsockopt (socket, ZMQ_RCVHWM, &high, sizeof high);
+  int interval_ms = FT_HEARTBEAT_TIMEOUT_MS / 3;
+  int timeout_ms = FT_HEARTBEAT_TIMEOUT_MS;
+  int high_water_mark = HIGH_WATER_MARK;
+
+  zmq_setsockopt (socket, ZMQ_HEARTBEAT_IVL, &interval_ms, sizeof interval_ms);
+  zmq_setsockopt (socket, ZMQ_HEARTBEAT_TIMEOUT, &timeout_ms, sizeof timeout_ms);
+  zmq_setsockopt (socket, ZMQ_HEARTBEAT_TTL, &timeout_ms, sizeof timeout_ms);
+  zmq_setsockopt (socket, ZMQ_HANDSHAKE_IVL, &timeout_ms, sizeof timeout_ms);
+  zmq_setsockopt (socket, ZMQ_SNDHWM, &high_water_mark, sizeof high_water_mark);
+  zmq_setsockopt (socket, ZMQ_RCVHWM, &high_water_mark, sizeof high_water_mark);
 }
 
-/* Opens the DEALER and its monitor. IMMEDIATE keeps messages out of connections that are not
- * established, so that a message refused here provably never left. */
+/* Opens the DEALER and its monitor. With ZMQ_IMMEDIATE, messages are queued only for
+ * established connections, so that a message that the DEALER refuses was certainly not sent. */
 static void
 open_peer_sockets (ft_bus_t *bus, peer_t *peer)
 {
   char endpoint[96];
-  int one = 1;
-  int reconnect = 100;
-  int reconnect_max = 1000;
-  int linger = 0;
+  int immediate = 1;
+  int reconnect_ms = 100;
+  int reconnect_max_ms = 1000;
+  int linger_ms = 0;
   void *dealer = zmq_socket (bus->context, ZMQ_DEALER);
   void *monitor = zmq_socket (bus->context, ZMQ_PAIR);
 
-  set_heartbeat (dealer);
-  zmq_setsockopt (dealer, ZMQ_IMMEDIATE, &one, sizeof one);
-  zmq_setsockopt (dealer, ZMQ_RECONNECT_IVL, &reconnect, sizeof reconnect);
-  zmq_setsockopt (dealer, ZMQ_RECONNECT_IVL_MAX, &reconnect_max, sizeof reconnect_max);
-  zmq_setsockopt (dealer, ZMQ_LINGER, &linger, sizeof linger);
-  zmq_setsockopt (monitor, ZMQ_LINGER, &linger, sizeof linger);
+  set_socket_options (dealer);
+  zmq_setsockopt (dealer, ZMQ_IMMEDIATE, &immediate, sizeof immediate);
+  zmq_setsockopt (dealer, ZMQ_RECONNECT_IVL, &reconnect_ms, sizeof reconnect_ms);
+  zmq_setsockopt (dealer, ZMQ_RECONNECT_IVL_MAX, &reconnect_max_ms, sizeof reconnect_max_ms);
+  zmq_setsockopt (dealer, ZMQ_LINGER, &linger_ms, sizeof linger_ms);
+  zmq_setsockopt (monitor, ZMQ_LINGER, &linger_ms, sizeof linger_ms);
   snprintf (endpoint, sizeof endpoint, "inproc://monitor-%s-%" G_GUINT64_FORMAT, bus->name,
             bus->monitor_count++);
   zmq_socket_monitor (dealer, endpoint, ZMQ_EVENT_HANDSHAKE_SUCCEEDED);
   zmq_connect (monitor, endpoint);
   snprintf (endpoint, sizeof endpoint, "tcp://%s:%u", peer->address.data, peer->port);
   zmq_connect (dealer, endpoint);
-  peer->dealer = ft_create_socket (bus->kernel, dealer, note_traffic, peer);
-  peer->monitor = ft_create_socket (bus->kernel, monitor, receive_event, peer);
+  peer->dealer = ft_create_socket (bus->kernel, dealer, handle_dealer_message, peer);
+  peer->monitor = ft_create_socket (bus->kernel, monitor, handle_monitor_event, peer);
 }
 
 static char *
@@ -190,7 +191,7 @@
 }
 
 static peer_t *
-find_peer (ft_bus_t *bus, const fb_name_t *address, uint16_t port)
+find_or_create_peer (ft_bus_t *bus, const fb_name_t *address, uint16_t port)
 {
   char *key = format_peer_key (address, port);
   peer_t *peer = g_hash_table_lookup (bus->peers, key);
@@ -204,7 +205,7 @@
   peer->bus = bus;
   peer->address = *address;
   peer->port = port;
-  g_queue_init (&peer->pending);
+  g_queue_init (&peer->pending_messages);
   open_peer_sockets (bus, peer);
   g_hash_table_insert (bus->peers, key, peer);
   return peer;
@@ -222,25 +223,24 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       peer_t *peer = value;
-      if (g_queue_is_empty (&peer->pending) && now - peer->last_used > IDLE_LIMIT)
+      if (g_queue_is_empty (&peer->pending_messages) && now - peer->last_used > IDLE_TIMEOUT)
         g_hash_table_iter_remove (&iter);
     }
 }
 
-/* Drops the messages of PEER whose wait for a connection is over; returns whether others wait.
- */
+/* Drops the expired messages of PEER; returns whether others are waiting. */
 static bool
 drop_expired (peer_t *peer, fb_time_t now)
 {
-  pending_t *oldest;
+  pending_message_t *oldest;
 
-  while ((oldest = g_queue_peek_head (&peer->pending)) && oldest->expires <= now)
-    free_pending (g_queue_pop_head (&peer->pending));
+  while ((oldest = g_queue_peek_head (&peer->pending_messages)) && oldest->expires_at <= now)
+    free_pending_message (g_queue_pop_head (&peer->pending_messages));
   return oldest != NULL;
 }
 
 static void
-sweep_pending (void *user)
+process_pending (void *user)
 {
   ft_bus_t *bus = user;
   fb_time_t now = fb_read_clock (fk_get_clock (bus->kernel));
@@ -255,32 +255,33 @@
       waiting |= drop_expired (value, now);
     }
   if (!waiting)
-    fk_pause_timer (bus->sweep);
+    fk_pause_timer (bus->pending_timer);
 }
 
 ft_bus_t *
 ft_create_bus (fk_kernel_t *kernel, const char *name, const fb_name_t *address, uint16_t port,
-               ft_message_fn_t received, void *user)
+               ft_message_fn_t callback, void *user)
 {
   char endpoint[96];
-  int linger = LINGER_MS;
+  int linger_ms = LINGER_MS;
   ft_bus_t *bus = g_new0 (ft_bus_t, 1);
   void *router;
   char *labels;
 
   bus->kernel = kernel;
   bus->name = g_strdup (name);
-  bus->received_hook = received;
+  bus->message_callback = callback;
   bus->user = user;
   labels = g_strdup_printf ("bus=\"%s\"", name);
-  bus->sent = fb_find_counter (fk_get_counters (kernel), "bus_sent_bytes", labels);
-  bus->received = fb_find_counter (fk_get_counters (kernel), "bus_received_bytes", labels);
+  bus->sent_bytes = fb_find_counter (fk_get_counters (kernel), "bus_sent_bytes", labels);
+  bus->received_bytes
+      = fb_find_counter (fk_get_counters (kernel), "bus_received_bytes", labels);
   g_free (labels);
   bus->context = zmq_ctx_new ();
   bus->peers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, destroy_peer);
   router = zmq_socket (bus->context, ZMQ_ROUTER);
-  set_heartbeat (router);
-  zmq_setsockopt (router, ZMQ_LINGER, &linger, sizeof linger);
+  set_socket_options (router);
+  zmq_setsockopt (router, ZMQ_LINGER, &linger_ms, sizeof linger_ms);
   snprintf (endpoint, sizeof endpoint, "tcp://%s:%u", address->data, port);
   if (zmq_bind (router, endpoint) != 0)
     {
@@ -290,9 +291,9 @@
       ft_destroy_bus (bus);
       return NULL;
     }
-  bus->router = ft_create_socket (kernel, router, receive_message, bus);
-  bus->sweep = fk_create_timer (kernel, SWEEP_PERIOD, sweep_pending, bus);
-  bus->idle = fk_create_timer (kernel, IDLE_PERIOD, close_idle_peers, bus);
+  bus->router = ft_create_socket (kernel, router, handle_router_message, bus);
+  bus->pending_timer = fk_create_timer (kernel, PENDING_CHECK_INTERVAL, process_pending, bus);
+  bus->idle_timer = fk_create_timer (kernel, IDLE_CHECK_INTERVAL, close_idle_peers, bus);
   return bus;
 }
 
@@ -301,8 +302,8 @@
 {
   if (!bus)
     return;
-  fk_destroy_timer (bus->sweep);
-  fk_destroy_timer (bus->idle);
+  fk_destroy_timer (bus->pending_timer);
+  fk_destroy_timer (bus->idle_timer);
   g_hash_table_destroy (bus->peers);
   ft_destroy_socket (bus->router);
   zmq_ctx_term (bus->context);
@@ -315,16 +316,16 @@
          fb_bytes_t body)
 {
   fb_time_t now = fb_read_clock (fk_get_clock (bus->kernel));
-  peer_t *peer = find_peer (bus, address, port);
-  pending_t *pending;
+  peer_t *peer = find_or_create_peer (bus, address, port);
+  pending_message_t *pending;
 
   peer->last_used = now;
-  if (g_queue_is_empty (&peer->pending) && write_frames (bus, peer, header, body))
+  if (g_queue_is_empty (&peer->pending_messages) && write_frames (bus, peer, header, body))
     return;
-  pending = g_new0 (pending_t, 1);
-  pending->expires = now + FT_CONNECT_TIMEOUT;
+  pending = g_new0 (pending_message_t, 1);
+  pending->expires_at = now + FT_CONNECT_TIMEOUT;
   pending->header = g_bytes_new (header.data, header.len);
   pending->body = g_bytes_new (body.data, body.len);
-  g_queue_push_tail (&peer->pending, pending);
-  fk_resume_timer (bus->sweep);
+  g_queue_push_tail (&peer->pending_messages, pending);
+  fk_resume_timer (bus->pending_timer);
 }
--- a/packages/transport/source/transport-socket.c
+++ b/packages/transport/source/transport-socket.c
@@ -2,24 +2,25 @@
 #include <glib.h>
 #include <zmq.h>
 
-/* Messages read in one go before other handles of the loop get their turn. */
+/* Maximum number of messages read before other handles of the loop are served. */
 #define READ_BATCH 64
 
 struct ft_socket
 {
   uv_poll_t poll;
-  uv_idle_t again;
+  uv_idle_t continue_handle;
   void *handle;
-  ft_frames_fn_t receive;
+  ft_frames_fn_t callback;
   void *user;
   bool reading;
   bool closed;
   int open_handles;
 };
 
-/* Reads one message into PARTS; returns the number of frames, 0 when there is none. */
+/* Reads one message. FRAMES refers to the data of ZMQ_FRAMES, which the caller closes. Returns
+ * the number of frames, which may exceed FT_FRAMES_MAX, or 0 if there is no message. */
 static size_t
-read_message (ft_socket_t *socket, zmq_msg_t parts[FT_FRAMES_MAX], ft_frames_t *frames)
+read_message (ft_socket_t *socket, zmq_msg_t zmq_frames[FT_FRAMES_MAX], ft_frames_t *frames)
 {
   size_t count = 0;
   int more = 1;
@@ -27,23 +28,23 @@
   frames->count = 0;
   while (more)
     {
-      zmq_msg_t part;
-      zmq_msg_init (&part);
-      if (zmq_msg_recv (&part, socket->handle, ZMQ_DONTWAIT) < 0)
+      zmq_msg_t zmq_frame;
+      zmq_msg_init (&zmq_frame);
+      if (zmq_msg_recv (&zmq_frame, socket->handle, ZMQ_DONTWAIT) < 0)
         {
-          zmq_msg_close (&part);
+          zmq_msg_close (&zmq_frame);
           return count;
         }
-      more = zmq_msg_more (&part);
+      more = zmq_msg_more (&zmq_frame);
       if (count < FT_FRAMES_MAX)
         {
-          parts[count] = part;
-          frames->frame[count]
-              = (fb_bytes_t){ zmq_msg_data (&parts[count]), zmq_msg_size (&parts[count]) };
+          zmq_frames[count] = zmq_frame;
+          frames->frame[count] = (fb_bytes_t){ zmq_msg_data (&zmq_frames[count]),
+                                               zmq_msg_size (&zmq_frames[count]) };
           frames->count = count + 1;
         }
       else
-        zmq_msg_close (&part);
+        zmq_msg_close (&zmq_frame);
       count++;
     }
   return count;
@@ -52,49 +53,49 @@
 static void
 read_socket (ft_socket_t *socket)
 {
-  int batch = 0;
+  int message_count = 0;
 
   if (socket->reading)
     return;
   socket->reading = true;
-  while (!socket->closed && batch < READ_BATCH)
+  while (!socket->closed && message_count < READ_BATCH)
     {
-      zmq_msg_t parts[FT_FRAMES_MAX];
+      zmq_msg_t zmq_frames[FT_FRAMES_MAX];
       ft_frames_t frames;
-      size_t count = read_message (socket, parts, &frames);
+      size_t count = read_message (socket, zmq_frames, &frames);
 
       if (count == 0)
         break;
-      /* A message with too many frames is not one of the protocol's. */
+      /* Valid messages have at most FT_FRAMES_MAX frames. */
       if (count > FT_FRAMES_MAX)
         frames.count = 0;
-      socket->receive (&frames, socket->user);
+      socket->callback (&frames, socket->user);
       for (size_t i = 0; i < count && i < FT_FRAMES_MAX; i++)
-        zmq_msg_close (&parts[i]);
-      batch++;
+        zmq_msg_close (&zmq_frames[i]);
+      message_count++;
     }
   socket->reading = false;
-  if (!socket->closed && batch < READ_BATCH)
-    uv_idle_stop (&socket->again);
+  if (!socket->closed && message_count < READ_BATCH)
+    uv_idle_stop (&socket->continue_handle);
 }
 
 static void
-read_again (uv_idle_t *handle)
+continue_reading (uv_idle_t *handle)
 {
   read_socket (handle->data);
 }
 
 /* ZeroMQ's descriptor is edge-triggered: after each event and each write the socket must be
- * read until empty, or a message stays unseen. */
+ * read until it is empty, otherwise a message could stay unread. */
 static void
 schedule_read (ft_socket_t *socket)
 {
   if (!socket->closed)
-    uv_idle_start (&socket->again, read_again);
+    uv_idle_start (&socket->continue_handle, continue_reading);
 }
 
 static void
-receive_poll (uv_poll_t *handle, int status, int events)
+handle_poll (uv_poll_t *handle, int status, int events)
 {
   ft_socket_t *socket = handle->data;
 
@@ -112,22 +113,22 @@
 }
 
 ft_socket_t *
-ft_create_socket (fk_kernel_t *kernel, void *handle, ft_frames_fn_t receive, void *user)
+ft_create_socket (fk_kernel_t *kernel, void *handle, ft_frames_fn_t callback, void *user)
 {
   ft_socket_t *socket = g_new0 (ft_socket_t, 1);
   int descriptor = -1;
   size_t size = sizeof descriptor;
 
   socket->handle = handle;
-  socket->receive = receive;
+  socket->callback = callback;
   socket->user = user;
   socket->open_handles = 2;
   zmq_getsockopt (handle, ZMQ_FD, &descriptor, &size);
   uv_poll_init (fk_get_loop (kernel), &socket->poll, descriptor);
-  uv_idle_init (fk_get_loop (kernel), &socket->again);
+  uv_idle_init (fk_get_loop (kernel), &socket->continue_handle);
   socket->poll.data = socket;
-  socket->again.data = socket;
-  uv_poll_start (&socket->poll, UV_READABLE, receive_poll);
+  socket->continue_handle.data = socket;
+  uv_poll_start (&socket->poll, UV_READABLE, handle_poll);
   schedule_read (socket);
   return socket;
 }
@@ -140,7 +141,7 @@
   socket->closed = true;
   uv_poll_stop (&socket->poll);
   uv_close ((uv_handle_t *)&socket->poll, free_socket);
-  uv_close ((uv_handle_t *)&socket->again, free_socket);
+  uv_close ((uv_handle_t *)&socket->continue_handle, free_socket);
   zmq_close (socket->handle);
   socket->handle = NULL;
 }
--- a/packages/transport/source/transport-socket.h
+++ b/packages/transport/source/transport-socket.h
@@ -1,4 +1,4 @@
-/* One ZeroMQ socket on the kernel's loop. */
+/* A ZeroMQ socket on the kernel's loop. */
 #ifndef FOXTAILRUN_TRANSPORT_SOCKET_H
 #define FOXTAILRUN_TRANSPORT_SOCKET_H
 
@@ -7,7 +7,7 @@
 
 #define FT_FRAMES_MAX 3
 
-/* One whole message; frames beyond FT_FRAMES_MAX are counted and dropped. */
+/* The frames of one message; COUNT is 0 for a message of more than FT_FRAMES_MAX frames. */
 typedef struct
 {
   size_t count;
@@ -18,15 +18,16 @@
 
 typedef struct ft_socket ft_socket_t;
 
-/* Watches HANDLE, which it takes over, and passes each message to RECEIVE from the loop, never
- * from inside another function of this module. */
-ft_socket_t *ft_create_socket (fk_kernel_t *kernel, void *handle, ft_frames_fn_t receive,
+/* Takes ownership of HANDLE and passes each received message to CALLBACK. CALLBACK is called
+ * only from the loop, never from within a function of this module. */
+ft_socket_t *ft_create_socket (fk_kernel_t *kernel, void *handle, ft_frames_fn_t callback,
                                void *user);
 
-/* Closes the socket; safe inside its own RECEIVE. NULL is allowed. */
+/* Closes and frees the socket; may be called from its callback. NULL is allowed. */
 void ft_destroy_socket (ft_socket_t *socket);
 
-/* Writes one frame without waiting; returns false when it is not accepted. */
+/* Writes one frame without waiting; MORE if further frames of the message follow. Returns false
+ * if ZeroMQ does not accept the frame. */
 bool ft_write_socket (ft_socket_t *socket, fb_bytes_t frame, bool more);
 
 #endif
--- a/packages/transport/source/transport-udp.c
+++ b/packages/transport/source/transport-udp.c
@@ -1,24 +1,23 @@
 #include <foxtailrun/transport/udp.h>
 #include <glib.h>
 
-/* Larger than any datagram of the protocol, so that an oversized one is seen as such and
- * refused. */
-#define RECEIVE_MAX 2048
+/* Larger than any valid datagram, so that an oversized one is detected and rejected. */
+#define RECEIVE_BUFFER_BYTES 2048
 
 struct ft_udp
 {
   uv_udp_t handle;
   fk_kernel_t *kernel;
-  ft_datagram_fn_t receive;
+  ft_datagram_fn_t callback;
   void *user;
-  fb_counter_t *sent;
-  fb_counter_t *received;
-  fb_counter_t *dropped;
-  char buffer[RECEIVE_MAX];
+  fb_counter_t *sent_bytes;
+  fb_counter_t *received_bytes;
+  fb_counter_t *dropped_datagrams;
+  char buffer[RECEIVE_BUFFER_BYTES];
 };
 
 static void
-lend_buffer (uv_handle_t *handle, size_t suggested, uv_buf_t *buffer)
+allocate_buffer (uv_handle_t *handle, size_t suggested, uv_buf_t *buffer)
 {
   ft_udp_t *udp = handle->data;
 
@@ -33,8 +32,8 @@
 
   if (length <= 0 || !from)
     return;
-  fb_add_counter (udp->received, (uint64_t)length);
-  udp->receive ((fb_bytes_t){ (const uint8_t *)buffer->base, (size_t)length }, udp->user);
+  fb_add_counter (udp->received_bytes, (uint64_t)length);
+  udp->callback ((fb_bytes_t){ (const uint8_t *)buffer->base, (size_t)length }, udp->user);
 }
 
 static void
@@ -52,25 +51,25 @@
 
 ft_udp_t *
 ft_create_udp (fk_kernel_t *kernel, const fb_name_t *address, uint16_t port,
-               ft_datagram_fn_t receive, void *user)
+               ft_datagram_fn_t callback, void *user)
 {
-  struct sockaddr_storage bound;
+  struct sockaddr_storage bind_address;
   ft_udp_t *udp = g_new0 (ft_udp_t, 1);
   fb_counters_t *counters = fk_get_counters (kernel);
   int error = UV_EINVAL;
 
   udp->kernel = kernel;
-  udp->receive = receive;
+  udp->callback = callback;
   udp->user = user;
-  udp->sent = fb_find_counter (counters, "gossip_sent_bytes", "");
-  udp->received = fb_find_counter (counters, "gossip_received_bytes", "");
-  udp->dropped = fb_find_counter (counters, "gossip_dropped_datagrams", "");
+  udp->sent_bytes = fb_find_counter (counters, "gossip_sent_bytes", "");
+  udp->received_bytes = fb_find_counter (counters, "gossip_received_bytes", "");
+  udp->dropped_datagrams = fb_find_counter (counters, "gossip_dropped_datagrams", "");
   uv_udp_init (fk_get_loop (kernel), &udp->handle);
   udp->handle.data = udp;
-  if (parse_address (address, port, &bound))
-    error = uv_udp_bind (&udp->handle, (struct sockaddr *)&bound, 0);
+  if (parse_address (address, port, &bind_address))
+    error = uv_udp_bind (&udp->handle, (struct sockaddr *)&bind_address, 0);
   if (error == 0)
-    error = uv_udp_recv_start (&udp->handle, lend_buffer, receive_datagram);
+    error = uv_udp_recv_start (&udp->handle, allocate_buffer, receive_datagram);
   if (error == 0)
     return udp;
   FB_LOG (fk_get_log (kernel), FB_LOG_ERROR, "transport", "cannot bind UDP socket",
@@ -90,12 +89,12 @@
 void
 ft_send_datagram (ft_udp_t *udp, const fb_name_t *address, uint16_t port, fb_bytes_t datagram)
 {
-  struct sockaddr_storage to;
+  struct sockaddr_storage destination;
   uv_buf_t buffer = uv_buf_init ((char *)datagram.data, (unsigned)datagram.len);
 
-  if (!parse_address (address, port, &to)
-      || uv_udp_try_send (&udp->handle, &buffer, 1, (struct sockaddr *)&to) < 0)
-    fb_add_counter (udp->dropped, 1);
+  if (!parse_address (address, port, &destination)
+      || uv_udp_try_send (&udp->handle, &buffer, 1, (struct sockaddr *)&destination) < 0)
+    fb_add_counter (udp->dropped_datagrams, 1);
   else
-    fb_add_counter (udp->sent, datagram.len);
+    fb_add_counter (udp->sent_bytes, datagram.len);
 }
