--- a/packages/kernel/include/foxtailrun/kernel/kernel.h
+++ b/packages/kernel/include/foxtailrun/kernel/kernel.h
@@ -1,4 +1,4 @@
-/* The micro-kernel: one event loop on one thread, and services that find each other by name. */
+/* Micro-kernel: an event loop on one thread and a registry of services by name. */
 #ifndef FOXTAILRUN_KERNEL_KERNEL_H
 #define FOXTAILRUN_KERNEL_KERNEL_H
 
@@ -10,38 +10,40 @@
 typedef struct fk_kernel fk_kernel_t;
 typedef struct fk_timer fk_timer_t;
 
-/* Callbacks of a service; each may be NULL. DATA is what was registered. */
+/* Callbacks of a service; each may be NULL. DATA is the data registered with the service. */
 typedef struct
 {
   fb_status_t (*start) (fk_kernel_t *kernel, void *data);
-  void (*stop) (void *data); /* release handles on the loop; called in reverse order of start */
-  void (*destroy) (void *data); /* free DATA after the loop has ended */
+  void (*stop) (void *data); /* close handles on the loop; called in reverse order of start */
+  void (*destroy) (void *data); /* free DATA; called after the loop is closed */
 } fk_service_t;
 
-/* Creates a kernel with its own loop, clock, counters and LOG, which it takes over and may be
- * NULL. */
+/* Creates a kernel with its own loop, clock and counters. It takes ownership of LOG, which may
+ * be NULL. */
 fk_kernel_t *fk_create_kernel (fb_log_t *log);
 
 /* Stops and destroys all services, closes the loop and frees the kernel; NULL is allowed. */
 void fk_destroy_kernel (fk_kernel_t *kernel);
 
-/* Registers DATA as service NAME, which must be unused; the kernel takes DATA over. VTABLE is
+/* Registers a service; NAME must be unused. The kernel takes ownership of DATA; VTABLE is
  * borrowed and must outlive the kernel. */
 void fk_register_service (fk_kernel_t *kernel, const char *name, const fk_service_t *vtable,
                           void *data);
 
-/* Returns the data of service NAME, or NULL. */
+/* Returns the data of service NAME, borrowed, or NULL if it is not registered. */
 void *fk_find_service (fk_kernel_t *kernel, const char *name);
 
-/* Starts all services in order of registration; the first failure ends it and is returned. */
+/* Starts all services in order of registration. Stops at the first failure, which it logs and
+ * returns. */
 fb_status_t fk_start_services (fk_kernel_t *kernel);
 
-/* Runs the loop until fk_quit. */
+/* Runs the loop until fk_quit is called. */
 void fk_run (fk_kernel_t *kernel);
 
 /* Makes fk_run return. */
 void fk_quit (fk_kernel_t *kernel);
 
+/* Return objects that the kernel owns. */
 uv_loop_t *fk_get_loop (fk_kernel_t *kernel);
 const fb_clock_t *fk_get_clock (fk_kernel_t *kernel);
 fb_counters_t *fk_get_counters (fk_kernel_t *kernel);
@@ -49,24 +51,25 @@
 
 typedef void (*fk_callback_fn_t) (void *user);
 
-/* Calls CALLBACK each PERIOD ns, rounded up to a millisecond; destroy with fk_destroy_timer. */
+/* Calls CALLBACK every PERIOD ns, rounded up to ms; destroy with fk_destroy_timer. */
 fk_timer_t *fk_create_timer (fk_kernel_t *kernel, fb_time_t period, fk_callback_fn_t callback,
                              void *user);
 
-/* Stops TIMER until fk_resume_timer, so that an idle process is not woken. */
+/* Stops TIMER until fk_resume_timer, so that it does not wake an idle process. */
 void fk_pause_timer (fk_timer_t *timer);
 
-/* Starts a periodic TIMER again if it is paused. */
+/* Restarts a periodic TIMER if it is paused; it next expires after a full period. */
 void fk_resume_timer (fk_timer_t *timer);
 
-/* Calls CALLBACK once after DELAY ns; destroy with fk_destroy_timer. */
+/* Calls CALLBACK once after DELAY ns, rounded up to ms; destroy with fk_destroy_timer, also
+ * after the call. */
 fk_timer_t *fk_create_timeout (fk_kernel_t *kernel, fb_time_t delay, fk_callback_fn_t callback,
                                void *user);
 
 /* Stops and frees the timer; NULL is allowed. */
 void fk_destroy_timer (fk_timer_t *timer);
 
-/* Calls CALLBACK when the process receives SIGHUP, which otherwise would end it. */
+/* Calls CALLBACK when the process receives SIGHUP, which by default would terminate it. */
 void fk_watch_reload (fk_kernel_t *kernel, fk_callback_fn_t callback, void *user);
 
 /* Calls CALLBACK when the process receives SIGTERM or SIGINT. */
--- a/packages/kernel/source/kernel-timer.c
+++ b/packages/kernel/source/kernel-timer.c
@@ -10,7 +10,7 @@
 };
 
 static void
-fire_timer (uv_timer_t *handle)
+handle_timer (uv_timer_t *handle)
 {
   fk_timer_t *timer = handle->data;
 
@@ -25,7 +25,7 @@
 
 /* Returns DURATION in milliseconds, rounded up. */
 static uint64_t
-round_up (fb_time_t duration)
+round_up_to_ms (fb_time_t duration)
 {
   return (uint64_t)((duration + FB_MILLISECOND - 1) / FB_MILLISECOND);
 }
@@ -40,8 +40,8 @@
   timer->user = user;
   uv_timer_init (fk_get_loop (kernel), &timer->handle);
   timer->handle.data = timer;
-  timer->period_ms = round_up (period);
-  uv_timer_start (&timer->handle, fire_timer, round_up (delay), timer->period_ms);
+  timer->period_ms = round_up_to_ms (period);
+  uv_timer_start (&timer->handle, handle_timer, round_up_to_ms (delay), timer->period_ms);
   return timer;
 }
 
@@ -67,7 +67,7 @@
 fk_resume_timer (fk_timer_t *timer)
 {
   if (!uv_is_active ((uv_handle_t *)&timer->handle))
-    uv_timer_start (&timer->handle, fire_timer, timer->period_ms, timer->period_ms);
+    uv_timer_start (&timer->handle, handle_timer, timer->period_ms, timer->period_ms);
 }
 
 void
--- a/packages/kernel/source/kernel.c
+++ b/packages/kernel/source/kernel.c
@@ -18,12 +18,12 @@
   fb_counters_t *counters;
   fb_log_t *log;
   GPtrArray *services;
-  uv_signal_t signals[2];
-  uv_signal_t reload;
-  fk_callback_fn_t on_reload;
+  uv_signal_t termination_signals[2];
+  uv_signal_t reload_signal;
+  fk_callback_fn_t reload_callback;
   void *reload_user;
-  fk_callback_fn_t on_signal;
-  void *signal_user;
+  fk_callback_fn_t termination_callback;
+  void *termination_user;
 };
 
 static fb_time_t
@@ -40,19 +40,19 @@
 }
 
 static void
-receive_signal (uv_signal_t *handle, int number)
+handle_termination_signal (uv_signal_t *handle, int signal_number)
 {
   fk_kernel_t *kernel = handle->data;
 
-  kernel->on_signal (kernel->signal_user);
+  kernel->termination_callback (kernel->termination_user);
 }
 
 static void
-receive_reload (uv_signal_t *handle, int number)
+handle_reload_signal (uv_signal_t *handle, int signal_number)
 {
   fk_kernel_t *kernel = handle->data;
 
-  kernel->on_reload (kernel->reload_user);
+  kernel->reload_callback (kernel->reload_user);
 }
 
 fk_kernel_t *
@@ -65,7 +65,8 @@
   kernel->counters = fb_create_counters ();
   kernel->log = log;
   kernel->services = g_ptr_array_new ();
-  /* A peer that closes its end must not stop the process; writes report the error instead. */
+  /* A write to a connection closed by its peer must not terminate the process; the write
+   * reports the error instead. */
   signal (SIGPIPE, SIG_IGN);
   return kernel;
 }
@@ -139,7 +140,7 @@
         status = service->vtable->start (kernel, service->data);
       if (status != FB_OK)
         {
-          FB_LOG (kernel->log, FB_LOG_ERROR, "kernel", "service did not start",
+          FB_LOG (kernel->log, FB_LOG_ERROR, "kernel", "cannot start service",
                   FB_TEXT ("name", service->name),
                   FB_TEXT ("status", fb_describe_status (status)));
           return status;
@@ -187,24 +188,25 @@
 void
 fk_watch_reload (fk_kernel_t *kernel, fk_callback_fn_t callback, void *user)
 {
-  kernel->on_reload = callback;
+  kernel->reload_callback = callback;
   kernel->reload_user = user;
-  uv_signal_init (&kernel->loop, &kernel->reload);
-  kernel->reload.data = kernel;
-  uv_signal_start (&kernel->reload, receive_reload, SIGHUP);
+  uv_signal_init (&kernel->loop, &kernel->reload_signal);
+  kernel->reload_signal.data = kernel;
+  uv_signal_start (&kernel->reload_signal, handle_reload_signal, SIGHUP);
 }
 
 void
 fk_watch_signals (fk_kernel_t *kernel, fk_callback_fn_t callback, void *user)
 {
-  static const int numbers[] = { SIGTERM, SIGINT };
+  static const int signal_numbers[] = { SIGTERM, SIGINT };
 
-  kernel->on_signal = callback;
-  kernel->signal_user = user;
-  for (size_t i = 0; i < G_N_ELEMENTS (numbers); i++)
+  kernel->termination_callback = callback;
+  kernel->termination_user = user;
+  for (size_t i = 0; i < G_N_ELEMENTS (signal_numbers); i++)
     {
-      uv_signal_init (&kernel->loop, &kernel->signals[i]);
-      kernel->signals[i].data = kernel;
-      uv_signal_start (&kernel->signals[i], receive_signal, numbers[i]);
+      uv_signal_init (&kernel->loop, &kernel->termination_signals[i]);
+      kernel->termination_signals[i].data = kernel;
+      uv_signal_start (&kernel->termination_signals[i], handle_termination_signal,
+                       signal_numbers[i]);
     }
 }
