--- a/packages/http/include/foxtailrun/http/server.h
+++ b/packages/http/include/foxtailrun/http/server.h
@@ -25,8 +25,8 @@
 /* Stops accepting connections and closes idle ones; requests in flight are completed. */
 void fh_stop_accepting (fh_server_t *server);
 
-/* Sets the time limit in ns for receiving a request, and for which a connection may stay idle.
- */
+/* Sets the time limit in ns for receiving a request; it also limits how long a connection may
+ * stay idle. */
 void fh_set_idle_timeout (fh_server_t *server, fb_time_t timeout);
 
 /* Returns the number of requests not yet answered. */
--- a/packages/http/source/http-client.c
+++ b/packages/http/source/http-client.c
@@ -5,10 +5,10 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/* Shorter than the idle time-out of common servers, so that the client closes first. */
+/* Shorter than the idle timeout of common servers, so that the client closes first. */
 #define IDLE_TIMEOUT_MS 4000
 
-/* Fraction of the idle time-out announced by the server after which the client closes the
+/* Fraction of the idle timeout announced by the server after which the client closes the
  * connection; the margin keeps requests off a connection that the server is closing. */
 #define KEEP_ALIVE_FRACTION 0.8
 
@@ -155,7 +155,7 @@
                      "no further response data within the I/O timeout");
   else
     {
-      /* After a time-out the server may still be running the request: do not send it again. */
+      /* After a timeout the server may still be running the request: do not send it again. */
       connection->reused = false;
       fail_connection (connection, FH_NO_ANSWER, "no response within the I/O timeout");
     }
@@ -356,8 +356,7 @@
 }
 
 /* Makes the operating system close the connection when the server no longer acknowledges data.
- * Errors are ignored: on systems without these options the time-outs of exchanges still apply.
- */
+ * Errors are ignored: on systems without these options the exchanges still time out. */
 static void
 detect_dead_peer (connection_t *connection)
 {
--- a/packages/http/source/http-server.c
+++ b/packages/http/source/http-server.c
@@ -10,8 +10,8 @@
 
 #define LISTEN_BACKLOG 1024
 
-/* Interval of the check for disconnected callers. It is needed because h2o does not read from
- * an HTTP/1 connection while a request on it is unanswered. */
+/* Interval of the check for disconnected callers. h2o does not detect them, because it does not
+ * read from an HTTP/1 connection while a request on it is unanswered. */
 #define DISCONNECT_CHECK_INTERVAL_MS 50
 
 #define CANCELLATIONS_PER_CHECK_MAX 32
@@ -31,7 +31,7 @@
   GQueue requests; /* fh_request_t not yet answered */
   uv_timer_t disconnect_check;
   size_t connection_count;
-  fb_counter_t *closed_before_read; /* requests dropped: caller disconnected */
+  fb_counter_t *closed_before_read; /* requests whose caller had disconnected */
 };
 
 /* Allocated in the request's pool; its disposal shows that h2o has freed the request. */
@@ -103,8 +103,8 @@
   return NULL;
 }
 
-/* A cancelled callback may answer other requests as well, so each search starts from the head
- * of the list. */
+/* The owner's callback may answer other requests as well, so each search starts at the head of
+ * the list. */
 static void
 check_disconnected (uv_timer_t *timer)
 {
@@ -200,8 +200,8 @@
     }
 }
 
-/* h2o overwrites the data pointer of HANDLE. It is the first member, so that a pointer to it
- * converts to the connection. */
+/* The handle is the first member, so that a pointer to it converts to the connection; its data
+ * pointer is overwritten by h2o. */
 typedef struct
 {
   uv_tcp_t handle;
@@ -376,7 +376,7 @@
   request->cancel_user = user;
 }
 
-/* In h2o's encoding. Later versions make h2o send a body without a length in chunks. */
+/* As h2o encodes versions; for later ones it sends a body without a length in chunks. */
 #define HTTP_VERSION_1_0 0x100
 
 static void
--- a/packages/http/tests/test-http.c
+++ b/packages/http/tests/test-http.c
@@ -70,7 +70,7 @@
   fh_respond (request, 200, headers, G_N_ELEMENTS (headers), body);
 }
 
-/* Starts the server, unless raw_response is set, on a free port. */
+/* Creates a client and, unless raw_response is set, a server for a free port. */
 static void
 set_up (fixture_t *fixture)
 {
@@ -168,8 +168,7 @@
   g_free (body);
 }
 
-/* A connection that writes raw_response in the fragments separated by "|" and is then closed.
- */
+/* A connection that writes raw_response in fragments separated by "|" and is then closed. */
 typedef struct
 {
   uv_tcp_t stream;
--- a/packages/transport/source/transport-bus.c
+++ b/packages/transport/source/transport-bus.c
@@ -9,7 +9,7 @@
  * ones. */
 #define HIGH_WATER_MARK 10000
 
-/* Time for queued messages of the ROUTER to be written when the bus is closed. */
+/* Maximum time to write queued messages of the ROUTER when the bus is closed. */
 #define LINGER_MS 1000
 
 /* Unused connections are closed after this time, to limit descriptors and memory. */
--- a/packages/transport/source/transport-socket.h
+++ b/packages/transport/source/transport-socket.h
@@ -7,7 +7,7 @@
 
 #define FT_FRAMES_MAX 3
 
-/* The frames of one message; COUNT is 0 for a message of more than FT_FRAMES_MAX frames. */
+/* The frames of one message; the count is 0 if there are more than FT_FRAMES_MAX. */
 typedef struct
 {
   size_t count;
