--- a/packages/http/source/http-client.c
+++ b/packages/http/source/http-client.c
@@ -148,16 +148,14 @@
   connection_t *connection = timer->data;
 
   if (!connection->exchange || !connection->exchange->sent)
-    fail_connection (connection, FH_NOT_SENT,
-                     "connection to the server not established in time");
+    fail_connection (connection, FH_NOT_SENT, "no connection within the limit");
   else if (fh_has_headers (connection->reader))
-    fail_connection (connection, FH_TRUNCATED,
-                     "no further response data within the I/O timeout");
+    fail_connection (connection, FH_TRUNCATED, "response went silent");
   else
     {
       /* After a timeout the server may still be running the request: do not send it again. */
       connection->reused = false;
-      fail_connection (connection, FH_NO_ANSWER, "no response within the I/O timeout");
+      fail_connection (connection, FH_NO_ANSWER, "no response within the limit");
     }
 }
 
@@ -252,14 +250,13 @@
       if (result == FH_READ_INCOMPLETE)
         return;
       if (result == FH_READ_TOO_LARGE)
-        fail_connection (connection, FH_TOO_LARGE,
-                         "response headers or body exceed the size limit");
+        fail_connection (connection, FH_TOO_LARGE, "response over a limit");
       else if (result == FH_READ_INVALID)
         {
           connection->reused = false;
           fail_connection (connection,
                            fh_has_headers (connection->reader) ? FH_TRUNCATED : FH_NO_ANSWER,
-                           "received bytes are not a valid HTTP response");
+                           "bytes are no response");
         }
       if (result != FH_READ_COMPLETE)
         return;
@@ -288,7 +285,7 @@
     }
   fail_connection (connection,
                    fh_has_headers (connection->reader) ? FH_TRUNCATED : FH_NO_ANSWER,
-                   "connection closed before the response was complete");
+                   "connection ended before the response");
 }
 
 static void
@@ -380,7 +377,7 @@
     return;
   if (status != 0)
     {
-      fail_connection (connection, FH_NOT_SENT, "cannot connect to the server");
+      fail_connection (connection, FH_NOT_SENT, "no connection");
       return;
     }
   uv_tcp_nodelay (&connection->stream, 1);
