--- a/packages/config/include/foxtailrun/config/delta.h
+++ b/packages/config/include/foxtailrun/config/delta.h
@@ -1,17 +1,17 @@
-/* Compressed transfer of documents, whole or as a difference against an earlier one. */
+/* Compression of documents with zstd, complete or as a delta against an earlier version. */
 #ifndef FOXTAILRUN_CONFIG_DELTA_H
 #define FOXTAILRUN_CONFIG_DELTA_H
 
 #include <foxtailrun/base/status.h>
 #include <foxtailrun/base/string.h>
 
-/* Returns DOCUMENT as a zstd frame that uses BASE, which may be empty, as prefix; free with
- * g_free. The two must not overlap in memory, or nothing of BASE is used. */
+/* Returns DOCUMENT as a zstd frame with BASE, which may be empty, as prefix; free with g_free.
+ * BASE and DOCUMENT must not overlap in memory: zstd ignores an overlapping prefix. */
 uint8_t *fc_encode_delta (fb_bytes_t base, fb_bytes_t document, size_t *length);
 
-/* Restores a document of at most FC_DOCUMENT_MAX bytes from FRAME and the same BASE into
- * *DOCUMENT, which the caller frees with g_free. FB_INVALID when FRAME is malformed,
- * FB_TOO_LARGE over the limit. */
+/* Restores the document of FRAME, which was encoded with the same BASE, into *DOCUMENT, which
+ * the caller frees with g_free. FB_INVALID when FRAME is malformed or was encoded with another
+ * base, FB_TOO_LARGE when the document exceeds FC_DOCUMENT_MAX bytes. */
 fb_status_t fc_decode_delta (fb_bytes_t base, fb_bytes_t frame, uint8_t **document,
                              size_t *length);
 
--- a/packages/config/include/foxtailrun/config/schema.h
+++ b/packages/config/include/foxtailrun/config/schema.h
@@ -1,5 +1,5 @@
-/* Keys of the configuration document and of the settings file: one table that the checker, the
- * schema command and the operators' page share. */
+/* Keys of the configuration document and of the settings file. The checks, the schema command
+ * and the configuration reference use the same tables. */
 #ifndef FOXTAILRUN_CONFIG_SCHEMA_H
 #define FOXTAILRUN_CONFIG_SCHEMA_H
 
@@ -14,31 +14,31 @@
   FC_TYPE_INTEGER,
   FC_TYPE_NUMBER, /* integer or float */
   FC_TYPE_BOOLEAN,
-  FC_TYPE_REFERENCES,       /* array of names of other elements */
-  FC_TYPE_METHODS,          /* array of HTTP methods */
-  FC_TYPE_PARTS,            /* array of "NAME=WEIGHT" with names of other elements */
-  FC_TYPE_HOST,             /* host name with an optional port; may be empty */
-  FC_TYPE_ADDRESS,          /* numeric IP address */
-  FC_TYPE_SOCKET_ADDRESSES, /* array of "IP:PORT" */
-  FC_TYPE_CHOICE,           /* one of the strings that ALLOWED lists */
-  FC_TYPE_KEY               /* string of printable ASCII characters without spaces */
+  FC_TYPE_REFERENCES,        /* array of names of other elements */
+  FC_TYPE_METHODS,           /* array of HTTP methods */
+  FC_TYPE_WEIGHTED_SERVICES, /* array of "NAME=WEIGHT" with names of services */
+  FC_TYPE_HOST,              /* host name with an optional port; may be empty */
+  FC_TYPE_ADDRESS,           /* numeric IP address */
+  FC_TYPE_SOCKET_ADDRESSES,  /* array of "IP:PORT" */
+  FC_TYPE_CHOICE,            /* one of the strings listed in ALLOWED */
+  FC_TYPE_ADMIN_KEY          /* string of printable ASCII characters without spaces */
 } fc_type_t;
 
-/* One key. */
+/* Definition of one key. */
 typedef struct
 {
-  const char *section; /* "" for the top level, otherwise the table's name */
+  const char *section; /* name of the table; "" for the top level */
   const char *key;
   fc_type_t type;
   const char *unit;         /* "" when there is none */
-  const char *default_text; /* default as text; NULL when the key must be given */
-  double min;               /* numbers only */
-  double max;
-  const char *allowed; /* what may stand there, for types without a range of numbers */
-  const char *meaning; /* one phrase */
+  const char *default_text; /* default as text; NULL when the key is required */
+  double min;               /* of integers and numbers, inclusive */
+  double max;               /* of integers and numbers, inclusive */
+  const char *allowed;      /* allowed values; NULL for integers and numbers */
+  const char *meaning;      /* one phrase */
 } fc_field_t;
 
-/* A list of fields; fields of one section are adjacent. */
+/* Fields of a file; those of one section are adjacent. */
 typedef struct
 {
   const fc_field_t *fields;
@@ -52,10 +52,10 @@
 /* Returns the static schema of the settings file. */
 const fc_schema_t *fc_get_settings_schema (void);
 
-/* Returns the static name of TYPE, such as "integer". */
+/* Returns the name of TYPE, such as "integer"; static. */
 const char *fc_describe_type (fc_type_t type);
 
-/* Returns what may stand at FIELD, such as "an integer from 0 to 3"; free with g_free. */
+/* Returns the allowed values of FIELD, such as "an integer from 0 to 3"; free with g_free. */
 char *fc_describe_allowed (const fc_field_t *field);
 
 #endif
--- a/packages/config/include/foxtailrun/config/settings.h
+++ b/packages/config/include/foxtailrun/config/settings.h
@@ -1,4 +1,4 @@
-/* Settings of one node: its addresses, zone, backend server and platform. */
+/* Settings of one node, such as its addresses, zone, backend server and platform. */
 #ifndef FOXTAILRUN_CONFIG_SETTINGS_H
 #define FOXTAILRUN_CONFIG_SETTINGS_H
 
@@ -16,43 +16,45 @@
   uint16_t port;     /* 0 when not set */
 } fc_socket_address_t;
 
-/* TOML tables and keys: [node] id, zone, region, service; [listen] address, caller_port,
+/* The TOML tables and keys are [node] id, zone, region, service; [listen] address, caller_port,
  * call_port, control_port, admin_port, ready_port; [drain] limit_ms; [backend] address, port;
- * [platform] address, port; [seeds] nodes =
- * ["IP:PORT"]; [admin] key; [log] level, format. */
+ * [platform] address, port; [seeds] nodes; [admin] key; [log] level, format. The fields
+ * source_poll_interval, retry_ratio and shared_retry_floor have no key and are 0 after
+ * fc_check_settings. */
 typedef struct
 {
   fb_name_t id;
   fb_name_t zone;
   fb_name_t region;
-  fb_name_t service; /* empty: no backend server beside this node */
+  fb_name_t service; /* service of the backend server; empty for none */
   fb_name_t address;
   uint16_t caller_port;
   uint16_t call_port;
   uint16_t control_port;
   uint16_t admin_port;
-  uint16_t ready_port;            /* HTTP readiness of its own for the platform; 0 for none */
-  fb_time_t source_poll_interval; /* pause between two reads of a list that the platform keeps;
-                            0 when it keeps none */
-  double retry_ratio; /* retries for each first attempt, where nodes share an allowance */
-  uint32_t shared_retry_floor; /* retries in 10 s that all nodes together may make beyond that;
-                           0 when nodes share no allowance */
-  fb_time_t drain_timeout;     /* bound on a drain, after which open calls are cut */
+  uint16_t ready_port;            /* HTTP readiness check of the platform; 0 for none */
+  fb_time_t source_poll_interval; /* between two reads of the platform's list of
+                                      instances; 0 when it has none */
+  double retry_ratio; /* retries per first attempt, with a retry budget shared by the nodes */
+  uint32_t shared_retry_floor; /* further retries in 10 s of all nodes together; 0 without
+                                  a shared retry budget */
+  fb_time_t drain_timeout;     /* after it the calls still open are cut */
   fc_socket_address_t backend;
   fc_socket_address_t platform;
   fc_socket_address_t seeds[FC_SEEDS_MAX];
   size_t seed_count;
-  fb_name_t admin_key; /* empty: calls that change something are refused */
+  fb_name_t admin_key; /* empty: admin requests that change state are refused */
   fb_log_level_t log_level;
   fb_log_format_t log_format;
 } fc_settings_t;
 
-/* Checks the settings in DOCUMENT; FB_INVALID with every problem added to PROBLEMS. */
+/* Parses and checks DOCUMENT into SETTINGS; FB_INVALID with every problem added to PROBLEMS,
+ * which may be NULL. */
 fb_status_t fc_check_settings (fb_bytes_t document, fc_settings_t *settings,
                                fc_problems_t *problems);
 
-/* Parses "IP:PORT" or "[IPv6]:PORT". */
-bool fc_parse_socket_address (fb_str_t text, fc_socket_address_t *endpoint);
+/* Parses "IP:PORT" or "[IPv6]:PORT" with a port from 1. */
+bool fc_parse_socket_address (fb_str_t text, fc_socket_address_t *socket_address);
 
 /* Reads file PATH of at most MAX bytes into *DATA, which the caller frees with g_free;
  * FB_NOT_FOUND, FB_IO or FB_TOO_LARGE with one problem added. */
--- a/packages/config/include/foxtailrun/config/snapshot.h
+++ b/packages/config/include/foxtailrun/config/snapshot.h
@@ -1,4 +1,4 @@
-/* The checked, immutable form of a configuration document. */
+/* Snapshots: the checked, immutable form of a configuration document. */
 #ifndef FOXTAILRUN_CONFIG_SNAPSHOT_H
 #define FOXTAILRUN_CONFIG_SNAPSHOT_H
 
@@ -18,40 +18,40 @@
   uint32_t order;     /* 0 is the most urgent */
   uint32_t target_ms; /* latency target */
   double worth;       /* relative worth of one call answered within its target */
-  double share;       /* guaranteed part of slot time, 0 to 1 */
+  double share;       /* guaranteed fraction of slot time, 0 to 1 */
 } fc_rank_t;
 
 typedef struct
 {
   fb_name_t name;
-  uint32_t slots;             /* calls that an instance runs at once */
-  uint32_t connections;       /* connections that an instance accepts */
+  uint32_t slots;             /* maximum number of concurrent calls of an instance */
+  uint32_t connections;       /* maximum number of concurrent connections of an instance */
   const uint32_t *depends_on; /* indexes of services */
   size_t depends_count;
 } fc_service_t;
 
-/* A service that takes part of the calls of a route. */
+/* One of the services among which the calls of a route are split. */
 typedef struct
 {
   uint32_t service; /* index */
-  uint32_t weight;  /* part of the calls, relative to the other parts */
+  uint32_t weight;  /* relative to the weights of the other parts */
 } fc_part_t;
 
 typedef struct
 {
   fb_name_t name;
-  fb_str_t host;    /* host that callers ask for; empty for every host */
+  fb_str_t host;    /* host of the request; empty for every host */
   fb_str_t path;    /* prefix, starts with "/" */
-  bool below;       /* matches only paths that go on with a "/" after the prefix */
+  bool below;       /* matches only paths that continue with a "/" after the prefix */
   fb_str_t methods; /* methods joined by commas, such as "GET,POST"; empty for all */
-  uint32_t service; /* index; the first of the parts when there are any */
+  uint32_t service; /* index; that of the first part when there are parts */
   uint32_t rank;    /* index */
   uint32_t timeout_ms;
-  uint32_t target_ms; /* latency target; 0 stands for the rank's */
-  uint32_t retries;   /* most further attempts */
+  uint32_t target_ms; /* latency target; 0 for that of the rank */
+  uint32_t retries;   /* maximum number of attempts after the first */
   bool repeatable;    /* false: runs at most once */
-  bool ticket;        /* a call that is not repeatable needs a ticket of the node that runs it;
-                         otherwise the entry node sends each request at most once */
+  bool ticket;        /* a call that is not repeatable requires a ticket from the node that runs
+                         it; if false, the entry node sends each request at most once */
   const fc_part_t *parts;
   size_t part_count;
 } fc_route_t;
@@ -59,7 +59,7 @@
 typedef struct
 {
   fb_name_t name;
-  double weight; /* part within a rank, relative to the default of 1 */
+  double weight; /* within a rank, relative to the default of 1 */
 } fc_customer_t;
 
 typedef struct
@@ -67,34 +67,34 @@
   uint32_t service; /* index */
   uint32_t rank;    /* index */
   uint32_t target_ms;
-  double ratio; /* part of calls answered within the target, 0 to 1 */
+  double ratio; /* fraction of calls to be answered within the target, 0 to 1 */
 } fc_objective_t;
 
 typedef struct fc_snapshot fc_snapshot_t;
 
-/* Checks DOCUMENT as a whole. Returns a snapshot with one reference, or NULL with every problem
- * found added to PROBLEMS. Only this and fc_check_change build snapshots, so that each one is
- * closed under references. */
+/* Parses and checks DOCUMENT. Returns a snapshot with one reference, or NULL with every problem
+ * found added to PROBLEMS, which may be NULL. Only this and fc_check_change create snapshots,
+ * so that every index in a snapshot is valid. */
 fc_snapshot_t *fc_check_document (fb_bytes_t document, fc_problems_t *problems);
 
-/* Does the same as fc_check_document, in time that depends mostly on what differs from BASE,
- * which is borrowed for the call and may be NULL. */
+/* Does the same as fc_check_document, but parses only the sections that differ from BASE when
+ * they are at most half of the text. BASE is borrowed for the call and may be NULL. */
 fc_snapshot_t *fc_check_change (fc_snapshot_t *base, fb_bytes_t document,
                                 fc_problems_t *problems);
 
-/* Adds a reference and returns SNAPSHOT. */
+/* Adds a reference and returns SNAPSHOT; thread-safe. */
 fc_snapshot_t *fc_retain_snapshot (fc_snapshot_t *snapshot);
 
-/* Drops a reference; NULL is allowed. */
+/* Removes a reference, and frees SNAPSHOT with the last one; thread-safe. NULL is allowed. */
 void fc_release_snapshot (fc_snapshot_t *snapshot);
 
 /* Returns the publisher's version number. */
 uint64_t fc_get_version_number (const fc_snapshot_t *snapshot);
 
-/* Returns the time in ms for which a caller's connection may stay idle. */
+/* Returns the idle timeout of callers' connections, in ms. */
 uint32_t fc_get_idle_timeout_ms (const fc_snapshot_t *snapshot);
 
-/* Returns the document that was checked; owned by the snapshot. */
+/* Returns the text of the document; owned by the snapshot. */
 fb_bytes_t fc_get_document (const fc_snapshot_t *snapshot);
 
 size_t fc_count_ranks (const fc_snapshot_t *snapshot);
@@ -103,25 +103,27 @@
 size_t fc_count_customers (const fc_snapshot_t *snapshot);
 size_t fc_count_objectives (const fc_snapshot_t *snapshot);
 
-/* Each returns element INDEX, owned by the snapshot; ranks come in order of urgency. */
+/* Each returns element INDEX, owned by the snapshot, or NULL when out of range; ranks are
+ * sorted by urgency. */
 const fc_rank_t *fc_get_rank (const fc_snapshot_t *snapshot, size_t index);
 const fc_service_t *fc_get_service (const fc_snapshot_t *snapshot, size_t index);
 const fc_route_t *fc_get_route (const fc_snapshot_t *snapshot, size_t index);
 const fc_customer_t *fc_get_customer (const fc_snapshot_t *snapshot, size_t index);
 const fc_objective_t *fc_get_objective (const fc_snapshot_t *snapshot, size_t index);
 
-/* Returns the rank or service called NAME, or NULL; INDEX may be NULL. */
+/* Returns the rank or service called NAME, owned by the snapshot, and its index in *INDEX, or
+ * NULL; INDEX may be NULL. */
 const fc_rank_t *fc_find_rank (const fc_snapshot_t *snapshot, fb_str_t name, uint32_t *index);
 const fc_service_t *fc_find_service (const fc_snapshot_t *snapshot, fb_str_t name,
                                      uint32_t *index);
 
 /* Returns the route of HOST with the longest path prefix of PATH (a query after "?" is ignored)
- * that allows METHOD, or NULL. A prefix matches whole path segments. Routes without a host are
- * looked at when HOST, which may be empty, has none that match. */
+ * that allows METHOD, or NULL. A prefix matches complete path segments. Routes without a host
+ * are searched when HOST, which may be empty, has no matching route. */
 const fc_route_t *fc_find_route (const fc_snapshot_t *snapshot, fb_str_t host, fb_str_t method,
                                  fb_str_t path);
 
-/* Returns the weight of customer NAME, 1 when it is not listed. */
+/* Returns the weight of customer NAME, or 1 when it is not listed. */
 double fc_get_customer_weight (const fc_snapshot_t *snapshot, fb_str_t name);
 
 #endif
--- a/packages/config/source/check-cycle.c
+++ b/packages/config/source/check-cycle.c
@@ -1,37 +1,37 @@
 /* Search for cycles in the dependencies between services. */
-#include "check-parts.h"
+#include "checker.h"
 
-/* Services named in one report; a cycle can hold 1,000. */
-#define NAMED_MAX 8
+/* Services named in one problem; a cycle can have 1,000. */
+#define SERVICES_NAMED_MAX 8
 
 typedef enum
 {
-  UNSEEN,
+  UNVISITED,
   ON_PATH,
-  DONE
-} mark_t;
+  VISITED
+} visit_state_t;
 
 /* One service on the current path. */
 typedef struct
 {
   uint32_t service;
-  size_t next; /* dependency to follow next */
-} step_t;
+  size_t next; /* index of the next dependency to follow */
+} path_entry_t;
 
 /* Reports the cycle from path[START] to the end of the path and back. */
 static void
-report_cycle (const fc_checker_t *checker, const step_t *path, size_t start, size_t length,
-              const uint32_t *lines)
+report_cycle (const fc_checker_t *checker, const path_entry_t *path, size_t start,
+              size_t length, const uint32_t *lines)
 {
   const fc_service_t *services = checker->snapshot->services;
   uint32_t last = path[length - 1].service;
   char *key = g_strdup_printf ("service[%u].depends_on", last);
   GString *found = g_string_new ("the cycle ");
 
-  for (size_t i = start; i < length && i - start < NAMED_MAX; i++)
+  for (size_t i = start; i < length && i - start < SERVICES_NAMED_MAX; i++)
     g_string_append_printf (found, "%s -> ", services[path[i].service].name.data);
-  if (length - start > NAMED_MAX)
-    g_string_append_printf (found, "(%zu more) -> ", length - start - NAMED_MAX);
+  if (length - start > SERVICES_NAMED_MAX)
+    g_string_append_printf (found, "(%zu more) -> ", length - start - SERVICES_NAMED_MAX);
   g_string_append (found, services[path[start].service].name.data);
   fc_add_problem (checker->problems, lines[last], key, found->str,
                   "dependencies without a cycle");
@@ -39,34 +39,34 @@
   g_free (key);
 }
 
-/* Walks depth first from START with an explicit stack, as a chain may hold every service. */
+/* Searches depth first from START, without recursion, as a chain can have 1,000 services. */
 static void
-search_from (const fc_checker_t *checker, uint32_t start, uint8_t *marks, step_t *path,
+search_from (const fc_checker_t *checker, uint32_t start, uint8_t *states, path_entry_t *path,
              const uint32_t *lines)
 {
   const fc_service_t *services = checker->snapshot->services;
   size_t length = 1;
 
-  path[0] = (step_t){ .service = start };
-  marks[start] = ON_PATH;
+  path[0] = (path_entry_t){ .service = start };
+  states[start] = ON_PATH;
   while (length > 0)
     {
-      step_t *top = &path[length - 1];
+      path_entry_t *top = &path[length - 1];
       uint32_t child;
 
       if (top->next == services[top->service].depends_count)
         {
-          marks[top->service] = DONE;
+          states[top->service] = VISITED;
           length--;
           continue;
         }
       child = services[top->service].depends_on[top->next++];
-      if (marks[child] == UNSEEN)
+      if (states[child] == UNVISITED)
         {
-          marks[child] = ON_PATH;
-          path[length++] = (step_t){ .service = child };
+          states[child] = ON_PATH;
+          path[length++] = (path_entry_t){ .service = child };
         }
-      else if (marks[child] == ON_PATH)
+      else if (states[child] == ON_PATH)
         {
           size_t first = length - 1;
 
@@ -81,12 +81,12 @@
 fc_check_cycles (const fc_checker_t *checker, const uint32_t *lines)
 {
   size_t count = checker->snapshot->service_count;
-  uint8_t *marks = g_new0 (uint8_t, count);
-  step_t *path = g_new0 (step_t, count);
+  uint8_t *states = g_new0 (uint8_t, count);
+  path_entry_t *path = g_new0 (path_entry_t, count);
 
   for (uint32_t i = 0; i < count; i++)
-    if (marks[i] == UNSEEN)
-      search_from (checker, i, marks, path, lines);
+    if (states[i] == UNVISITED)
+      search_from (checker, i, states, path, lines);
   g_free (path);
-  g_free (marks);
+  g_free (states);
 }
--- a/packages/config/source/check-document.c
+++ b/packages/config/source/check-document.c
@@ -1,5 +1,5 @@
-/* Check of a whole document, and the parts that its sections share. */
-#include "check-parts.h"
+/* Check of a document, and functions shared by the checks of its sections. */
+#include "checker.h"
 #include <foxtailrun/base/invariant.h>
 #include <string.h>
 
@@ -23,7 +23,7 @@
 fc_next_row (const fc_checker_t *checker, const char *section, const fc_toml_t **table,
              size_t *index, fc_row_t *row)
 {
-  char path[FC_ROW_PATH_MAX];
+  char path[FC_ROW_PATH_SIZE];
 
   if (*table)
     {
@@ -37,7 +37,7 @@
       *table = node ? node->child : NULL;
       *index = 0;
     }
-  /* An element that is no table has been reported with its section. */
+  /* The check of the root reports elements that are not tables. */
   while (*table && (*table)->kind != FC_TOML_TABLE)
     {
       *table = (*table)->next;
@@ -58,7 +58,7 @@
   char *found = g_strdup_printf ("%s, as in %s[%zu]", quote, section, earlier);
   char *allowed = g_strdup_printf ("a different %s for each [[%s]]", key, section);
 
-  fc_add_row_problem (checker->problems, row, key, found, allowed);
+  fc_add_key_problem (checker->problems, row, key, found, allowed);
   g_free (allowed);
   g_free (found);
   g_free (quote);
@@ -77,16 +77,16 @@
 }
 
 static void
-check_count (const fc_checker_t *checker, const char *section, size_t most)
+check_count (const fc_checker_t *checker, const char *section, size_t max)
 {
   const fc_toml_t *node = get_section (checker, section);
   char *found;
   char *allowed;
 
-  if (!node || node->count <= most)
+  if (!node || node->count <= max)
     return;
   found = g_strdup_printf ("%zu tables", node->count);
-  allowed = g_strdup_printf ("at most %zu", most);
+  allowed = g_strdup_printf ("at most %zu", max);
   fc_add_problem (checker->problems, node->line, section, found, allowed);
   g_free (allowed);
   g_free (found);
@@ -98,8 +98,8 @@
   fc_row_t row;
 
   fc_check_row (&row, fc_get_document_schema (), "", "", checker->root, checker->problems);
-  checker->snapshot->number = fc_get_value (&row, "version")->integer;
-  checker->snapshot->idle_ms = (uint32_t)fc_get_value (&row, "idle_ms")->integer;
+  checker->snapshot->version_number = fc_get_value (&row, "version")->integer;
+  checker->snapshot->idle_timeout_ms = (uint32_t)fc_get_value (&row, "idle_ms")->integer;
   check_count (checker, "rank", FC_RANKS_MAX);
   check_count (checker, "service", FC_SERVICES_MAX);
   check_count (checker, "route", FC_ROUTES_MAX);
@@ -112,9 +112,9 @@
   fc_check_objectives (checker);
 }
 
-/* Returns whether the tables of SECTIONS, in order, are those of the checker's tree. */
+/* Returns whether SECTIONS have, in order, the lines of the tables in the checker's tree. */
 static bool
-match_sections (const fc_checker_t *checker, const GArray *sections)
+has_same_tables (const fc_checker_t *checker, const GArray *sections)
 {
   const fc_toml_t *next[FC_SECTION_KINDS];
 
@@ -143,18 +143,18 @@
 {
   const fc_toml_t *ranks = get_section (checker, "rank");
   const fc_toml_t *rank = ranks ? ranks->child : NULL;
-  uint32_t counts[FC_SECTION_KINDS] = { 0 };
+  uint32_t element_counts[FC_SECTION_KINDS] = { 0 };
 
-  if (!sections || (compare && !match_sections (checker, sections)))
+  if (!sections || (compare && !has_same_tables (checker, sections)))
     return;
   for (guint i = 0; i < sections->len; i++)
     {
       fc_section_t *section = &g_array_index (sections, fc_section_t, i);
-      size_t element = counts[section->kind]++;
+      size_t element = element_counts[section->kind]++;
 
       if (section->kind == FC_SECTION_RANK)
         {
-          /* Ranks are in order of urgency. */
+          /* The snapshot sorts ranks by urgency. */
           fb_str_t name;
 
           FB_INVARIANT (rank != NULL);
@@ -167,9 +167,9 @@
   checker->snapshot->sections = g_array_ref (sections);
 }
 
-/* Checks DOCUMENT with its whole text parsed at once. */
+/* Parses and checks the complete DOCUMENT. */
 static fc_snapshot_t *
-check_whole (fb_bytes_t document, GArray *sections, fc_problems_t *problems)
+check_full_text (fb_bytes_t document, GArray *sections, fc_problems_t *problems)
 {
   fc_checker_t checker = { .problems = problems };
   fb_str_t text = { (const char *)document.data, document.len };
@@ -205,10 +205,10 @@
   headers.items = g_array_new (FALSE, FALSE, sizeof (fc_header_t));
   if (!fc_scan_headers (text, problems, &headers))
     goto done;
-  sections = fc_divide_text (text, &headers);
-  snapshot = fc_try_change (base, document, sections);
+  sections = fc_split_sections (text, &headers);
+  snapshot = fc_check_changed_sections (base, document, sections);
   if (!snapshot)
-    snapshot = check_whole (document, sections, problems);
+    snapshot = check_full_text (document, sections, problems);
 
 done:
   if (sections)
--- a/packages/config/source/check-rank.c
+++ b/packages/config/source/check-rank.c
@@ -1,28 +1,28 @@
 /* Check of ranks, customers and objectives. */
-#include "check-parts.h"
+#include "checker.h"
 #include <string.h>
 
-/* Orders below this bound, as in the schema. */
-#define ORDERS 100
+/* Number of orders that the schema allows. */
+#define ORDERS_COUNT 100
 
-/* Above every rank index, so that a pair of service and rank has one number. */
+/* Exceeds every rank index, so that each pair of service and rank has a different number. */
 #define PAIR_STRIDE ((size_t)1 << 20)
 
-/* Sums of decimal shares such as 0.1 + 0.2 + 0.7 come out slightly above 1. */
+/* The floating-point sum of shares that add up to 1, such as 0.1 + 0.2 + 0.7, can exceed 1. */
 #define SHARE_TOLERANCE 1e-9
 
 typedef struct
 {
-  size_t first[ORDERS]; /* 1 + index of the rank with this order, 0 without */
-  GHashTable *names;    /* in order of the document */
-  double sum;           /* of the shares */
+  size_t first_by_order[ORDERS_COUNT]; /* 1 + index of the rank with this order; 0 for none */
+  GHashTable *names;                   /* to index in the document */
+  double share_sum;                    /* of the ranks checked so far */
 } rank_check_t;
 
 static void
 check_rank (fc_checker_t *checker, rank_check_t *check, const fc_row_t *row, size_t index)
 {
   fc_rank_t *rank = &checker->snapshot->ranks[index];
-  double before = check->sum;
+  double sum_before = check->share_sum;
   size_t earlier;
 
   fb_set_name (&rank->name, fc_get_value (row, "name")->text);
@@ -34,17 +34,18 @@
     fc_report_duplicate (checker, row, "name", "rank", earlier);
   if (fc_get_value (row, "order")->node)
     {
-      if (check->first[rank->order])
-        fc_report_duplicate (checker, row, "order", "rank", check->first[rank->order] - 1);
+      if (check->first_by_order[rank->order])
+        fc_report_duplicate (checker, row, "order", "rank",
+                             check->first_by_order[rank->order] - 1);
       else
-        check->first[rank->order] = index + 1;
+        check->first_by_order[rank->order] = index + 1;
     }
-  check->sum += rank->share;
-  if (before <= 1 + SHARE_TOLERANCE && check->sum > 1 + SHARE_TOLERANCE)
+  check->share_sum += rank->share;
+  if (sum_before <= 1 + SHARE_TOLERANCE && check->share_sum > 1 + SHARE_TOLERANCE)
     {
-      char *found = g_strdup_printf ("a sum of %.10g up to this rank", check->sum);
+      char *found = g_strdup_printf ("a sum of %.10g up to this rank", check->share_sum);
 
-      fc_add_row_problem (checker->problems, row, "share", found,
+      fc_add_key_problem (checker->problems, row, "share", found,
                           "a sum of at most 1 over all ranks");
       g_free (found);
     }
@@ -63,7 +64,7 @@
 fc_check_ranks (fc_checker_t *checker)
 {
   fc_snapshot_t *snapshot = checker->snapshot;
-  rank_check_t check = { .names = fc_create_names () };
+  rank_check_t check = { .names = fc_create_name_table () };
   const fc_toml_t *table = NULL;
   size_t index;
   size_t earlier;
@@ -104,26 +105,25 @@
     }
 }
 
-/* Reports a second objective for one pair of service and rank; SEEN maps a pair to 1 + index.
- */
+/* Reports a second objective for the same service and rank; PAIRS maps a pair to 1 + index. */
 static void
-check_pair (fc_checker_t *checker, const fc_row_t *row, size_t index, GHashTable *seen)
+check_unique_pair (fc_checker_t *checker, const fc_row_t *row, size_t index, GHashTable *pairs)
 {
   const fc_objective_t *objective = &checker->snapshot->objectives[index];
   size_t pair = (size_t)objective->service * PAIR_STRIDE + objective->rank;
-  gpointer earlier = g_hash_table_lookup (seen, GSIZE_TO_POINTER (pair));
+  gpointer earlier = g_hash_table_lookup (pairs, GSIZE_TO_POINTER (pair));
   char *found;
 
   if (!fc_get_value (row, "service")->node || !fc_get_value (row, "rank")->node)
     return;
   if (!earlier)
     {
-      g_hash_table_insert (seen, GSIZE_TO_POINTER (pair), GSIZE_TO_POINTER (index + 1));
+      g_hash_table_insert (pairs, GSIZE_TO_POINTER (pair), GSIZE_TO_POINTER (index + 1));
       return;
     }
   found = g_strdup_printf ("the service and rank of objective[%zu]",
                            GPOINTER_TO_SIZE (earlier) - 1);
-  fc_add_row_problem (checker->problems, row, "service", found,
+  fc_add_key_problem (checker->problems, row, "service", found,
                       "one [[objective]] for each service and rank");
   g_free (found);
 }
@@ -132,7 +132,7 @@
 fc_check_objectives (fc_checker_t *checker)
 {
   fc_snapshot_t *snapshot = checker->snapshot;
-  GHashTable *seen = g_hash_table_new (NULL, NULL);
+  GHashTable *pairs = g_hash_table_new (NULL, NULL);
   const fc_toml_t *table = NULL;
   size_t index;
   fc_row_t row;
@@ -142,14 +142,14 @@
   while (fc_next_row (checker, "objective", &table, &index, &row))
     {
       fc_objective_t *objective = &snapshot->objectives[index];
-      size_t before = fc_count_problems (checker->problems);
+      size_t problems_before = fc_count_problems (checker->problems);
 
       objective->service = fc_resolve_name (checker, &row, "service", snapshot->service_names);
       objective->rank = fc_resolve_name (checker, &row, "rank", snapshot->rank_names);
       objective->target_ms = (uint32_t)fc_get_value (&row, "target_ms")->integer;
       objective->ratio = fc_get_value (&row, "ratio")->number;
-      if (fc_count_problems (checker->problems) == before)
-        check_pair (checker, &row, index, seen);
+      if (fc_count_problems (checker->problems) == problems_before)
+        check_unique_pair (checker, &row, index, pairs);
     }
-  g_hash_table_unref (seen);
+  g_hash_table_unref (pairs);
 }
--- a/packages/config/source/check-route.c
+++ b/packages/config/source/check-route.c
@@ -1,29 +1,29 @@
 /* Check of routes. */
-#include "check-parts.h"
+#include "checker.h"
 #include <string.h>
 
-/* Largest weight of a part, as in the schema. */
+/* Maximum weight of a part, as in the schema. */
 #define WEIGHT_MAX 1000000
 
-/* Reads the methods at ROW into *METHODS and joins them by commas into TEXT. */
+/* Stores the methods of ROW in *METHODS and appends them, joined by commas, to JOINED. */
 static void
 check_methods (const fc_checker_t *checker, const fc_row_t *row, fc_methods_t *methods,
-               GString *text)
+               GString *joined)
 {
   const fc_value_t *list = fc_get_value (row, "methods");
 
   *methods = 0;
   for (const fc_toml_t *node = NULL; (node = fc_next_string (list, node));)
     {
-      fc_methods_t bit = fc_get_method_bit (node->text);
+      fc_methods_t method_bit = fc_get_method_bit (node->text);
 
-      if (bit == 0 || (*methods & bit))
+      if (method_bit == 0 || (*methods & method_bit))
         {
           fc_add_node_problem (checker->problems, row, "methods", node, NULL);
           continue;
         }
-      *methods |= bit;
-      g_string_append_printf (text, "%s%.*s", text->len ? "," : "", (int)node->text.len,
+      *methods |= method_bit;
+      g_string_append_printf (joined, "%s%.*s", joined->len ? "," : "", (int)node->text.len,
                               node->text.data);
     }
   if (!list->node || list->node->count == 0)
@@ -31,32 +31,33 @@
 }
 
 static fb_str_t
-keep_text (fc_snapshot_t *snapshot, const char *data, size_t len)
+store_text (fc_snapshot_t *snapshot, const char *data, size_t len)
 {
   return (fb_str_t){ g_string_chunk_insert_len (snapshot->texts, data, (gssize)len), len };
 }
 
 static void
-check_path (fc_checker_t *checker, const fc_row_t *row, size_t index, fc_methods_t methods)
+index_route (fc_checker_t *checker, const fc_row_t *row, size_t index, fc_methods_t methods)
 {
   const fc_route_t *route = &checker->snapshot->routes[index];
   uint32_t earlier;
   char *found;
 
   if (route->path.len == 0 || methods == 0
-      || fc_add_route (checker->snapshot->index, route, methods, (uint32_t)index, &earlier))
+      || fc_add_route (checker->snapshot->route_index, route, methods, (uint32_t)index,
+                       &earlier))
     return;
   found = g_strdup_printf ("\"%.*s\", which route[%u] has for the same methods",
                            (int)route->path.len, route->path.data, earlier);
-  fc_add_row_problem (checker->problems, row, "path", found,
+  fc_add_key_problem (checker->problems, row, "path", found,
                       "one route for each path and method");
   g_free (found);
 }
 
-/* Splits TEXT, "NAME=WEIGHT", into PART; returns false on anything else and on names that are
- * no service. */
+/* Parses TEXT, "NAME=WEIGHT", into *PART; returns false when it is malformed or NAME is not a
+ * service. */
 static bool
-parse_part (const fc_snapshot_t *snapshot, fb_str_t text, fc_part_t *part)
+parse_weighted_service (const fc_snapshot_t *snapshot, fb_str_t text, fc_part_t *part)
 {
   const char *equals = text.len ? memrchr (text.data, '=', text.len) : NULL;
   fb_str_t name;
@@ -74,7 +75,7 @@
 }
 
 static bool
-has_part (const fc_part_t *parts, size_t count, uint32_t service)
+has_service (const fc_part_t *parts, size_t count, uint32_t service)
 {
   for (size_t i = 0; i < count; i++)
     if (parts[i].service == service)
@@ -91,13 +92,13 @@
   if (!list->node || list->node->count == 0)
     return;
   parts = g_new0 (fc_part_t, list->node->count);
-  g_ptr_array_add (checker->snapshot->lists, parts);
+  g_ptr_array_add (checker->snapshot->arrays, parts);
   for (const fc_toml_t *node = NULL; (node = fc_next_string (list, node));)
     {
       fc_part_t *part = &parts[route->part_count];
 
-      if (parse_part (checker->snapshot, node->text, part)
-          && !has_part (parts, route->part_count, part->service))
+      if (parse_weighted_service (checker->snapshot, node->text, part)
+          && !has_service (parts, route->part_count, part->service))
         route->part_count++;
       else
         fc_add_node_problem (checker->problems, row, "parts", node, NULL);
@@ -114,16 +115,16 @@
   fc_route_t *route = &snapshot->routes[index];
   fb_str_t host = fc_get_value (row, "host")->text;
   fb_str_t path = fc_get_value (row, "path")->text;
-  GString *text = g_string_new ("");
+  GString *joined = g_string_new ("");
   fc_methods_t methods;
 
   fb_set_name (&route->name, fc_get_value (row, "name")->text);
-  route->host = keep_text (snapshot, host.data, host.len);
-  route->path = keep_text (snapshot, path.data, path.len);
+  route->host = store_text (snapshot, host.data, host.len);
+  route->path = store_text (snapshot, path.data, path.len);
   route->below = fc_get_value (row, "below")->integer != 0;
-  check_methods (checker, row, &methods, text);
-  route->methods = keep_text (snapshot, text->str, text->len);
-  g_string_free (text, TRUE);
+  check_methods (checker, row, &methods, joined);
+  route->methods = store_text (snapshot, joined->str, joined->len);
+  g_string_free (joined, TRUE);
   route->service = fc_resolve_name (checker, row, "service", snapshot->service_names);
   route->rank = fc_resolve_name (checker, row, "rank", snapshot->rank_names);
   route->timeout_ms = (uint32_t)fc_get_value (row, "timeout_ms")->integer;
@@ -132,14 +133,14 @@
   route->ticket = fc_get_value (row, "ticket")->integer != 0;
   route->target_ms = (uint32_t)fc_get_value (row, "target_ms")->integer;
   check_parts (checker, row, route);
-  check_path (checker, row, index, methods);
+  index_route (checker, row, index, methods);
 }
 
 void
 fc_check_routes (fc_checker_t *checker)
 {
   fc_snapshot_t *snapshot = checker->snapshot;
-  GHashTable *names = fc_create_names ();
+  GHashTable *names = fc_create_name_table ();
   const fc_toml_t *table = NULL;
   size_t index;
   size_t earlier;
--- a/packages/config/source/check-row.c
+++ b/packages/config/source/check-row.c
@@ -5,16 +5,17 @@
 #include <glib.h>
 #include <string.h>
 
-/* Longest piece of a value quoted in a problem, in bytes. */
-#define QUOTE_MAX 60
+/* Maximum length of a value quoted in a problem. */
+#define QUOTE_MAX_BYTES 60
 
-/* Returns the first line of TEXT, shortened; free with g_free. */
+/* Returns the first line of TEXT, truncated to QUOTE_MAX_BYTES; free with g_free. */
 static char *
 quote_text (fb_str_t text)
 {
   size_t len = 0;
 
-  while (len < text.len && len < QUOTE_MAX && text.data[len] != '\n' && text.data[len] != '\r')
+  while (len < text.len && len < QUOTE_MAX_BYTES && text.data[len] != '\n'
+         && text.data[len] != '\r')
     len++;
   if (len == text.len)
     return fb_copy_text (text);
@@ -41,20 +42,20 @@
 }
 
 void
-fc_add_row_problem (fc_problems_t *problems, const fc_row_t *row, const char *key,
+fc_add_key_problem (fc_problems_t *problems, const fc_row_t *row, const char *key,
                     const char *found, const char *allowed)
 {
   const fc_value_t *value = fc_get_value (row, key);
   char *path = join_key (row->path, key);
-  char *own = allowed ? NULL : fc_describe_allowed (value->field);
+  char *default_allowed = allowed ? NULL : fc_describe_allowed (value->field);
   uint32_t line = 0;
 
   if (value->node)
     line = value->node->line;
   else if (row->table && row->path[0])
     line = row->table->line;
-  fc_add_problem (problems, line, path, found, allowed ? allowed : own);
-  g_free (own);
+  fc_add_problem (problems, line, path, found, allowed ? allowed : default_allowed);
+  g_free (default_allowed);
   g_free (path);
 }
 
@@ -63,12 +64,12 @@
                      const fc_toml_t *node, const char *allowed)
 {
   char *path = join_key (row->path, key);
-  char *own = allowed ? NULL : fc_describe_allowed (fc_get_value (row, key)->field);
+  char *default_allowed = allowed ? NULL : fc_describe_allowed (fc_get_value (row, key)->field);
   char *found = fc_quote_node (node);
 
-  fc_add_problem (problems, node->line, path, found, allowed ? allowed : own);
+  fc_add_problem (problems, node->line, path, found, allowed ? allowed : default_allowed);
   g_free (found);
-  g_free (own);
+  g_free (default_allowed);
   g_free (path);
 }
 
@@ -104,7 +105,7 @@
       break;
     case FC_TYPE_REFERENCES:
     case FC_TYPE_METHODS:
-    case FC_TYPE_PARTS:
+    case FC_TYPE_WEIGHTED_SERVICES:
     case FC_TYPE_SOCKET_ADDRESSES:
       break;
     default:
@@ -113,7 +114,7 @@
     }
 }
 
-/* Comparisons that a NaN fails. */
+/* Returns false for a NaN. */
 static bool
 is_in_range (const fc_field_t *field, double number)
 {
@@ -121,7 +122,7 @@
 }
 
 static bool
-take_value (fc_value_t *value, const fc_toml_t *node)
+accept_value (fc_value_t *value, const fc_toml_t *node)
 {
   switch (value->field->type)
     {
@@ -143,7 +144,7 @@
       break;
     case FC_TYPE_REFERENCES:
     case FC_TYPE_METHODS:
-    case FC_TYPE_PARTS:
+    case FC_TYPE_WEIGHTED_SERVICES:
     case FC_TYPE_SOCKET_ADDRESSES:
       if (node->kind != FC_TOML_ARRAY)
         return false;
@@ -159,26 +160,26 @@
 }
 
 const fc_toml_t *
-fc_next_string (const fc_value_t *list, const fc_toml_t *node)
+fc_next_string (const fc_value_t *array, const fc_toml_t *node)
 {
   if (node)
     node = node->next;
-  else if (list->node)
-    node = list->node->child;
+  else if (array->node)
+    node = array->node->child;
   while (node && node->kind != FC_TOML_STRING)
     node = node->next;
   return node;
 }
 
-/* Reports the elements of LIST, an array, that are no strings. */
+/* Reports the elements of ARRAY that are not strings. */
 static void
-check_elements (const fc_row_t *row, const fc_value_t *list, fc_problems_t *problems)
+check_array_elements (const fc_row_t *row, const fc_value_t *array, fc_problems_t *problems)
 {
-  if (!list->node || list->node->kind != FC_TOML_ARRAY)
+  if (!array->node || array->node->kind != FC_TOML_ARRAY)
     return;
-  for (const fc_toml_t *node = list->node->child; node; node = node->next)
+  for (const fc_toml_t *node = array->node->child; node; node = node->next)
     if (node->kind != FC_TOML_STRING)
-      fc_add_node_problem (problems, row, list->field->key, node, NULL);
+      fc_add_node_problem (problems, row, array->field->key, node, NULL);
 }
 
 static fc_value_t *
@@ -191,7 +192,7 @@
 }
 
 static bool
-is_new_section (const fc_schema_t *schema, size_t index)
+starts_section (const fc_schema_t *schema, size_t index)
 {
   const char *section = schema->fields[index].section;
 
@@ -202,23 +203,23 @@
 find_section (const fc_schema_t *schema, fb_str_t key)
 {
   for (size_t i = 0; i < schema->count; i++)
-    if (is_new_section (schema, i)
+    if (starts_section (schema, i)
         && fb_equal_str (fb_wrap_text (schema->fields[i].section), key))
       return schema->fields[i].section;
   return NULL;
 }
 
 static void
-check_section_kind (const fc_schema_t *schema, const char *section, const fc_toml_t *node,
+check_section_type (const fc_schema_t *schema, const char *section, const fc_toml_t *node,
                     fc_problems_t *problems)
 {
-  bool good = node->kind == (schema->repeated ? FC_TOML_ARRAY : FC_TOML_TABLE);
+  bool valid = node->kind == (schema->repeated ? FC_TOML_ARRAY : FC_TOML_TABLE);
   char *allowed;
   char *found;
 
   for (const fc_toml_t *child = node->child; schema->repeated && child; child = child->next)
-    good = good && child->kind == FC_TOML_TABLE;
-  if (good)
+    valid = valid && child->kind == FC_TOML_TABLE;
+  if (valid)
     return;
   allowed = g_strdup_printf (schema->repeated ? "[[%s]] tables" : "one [%s] table", section);
   found = fc_quote_node (node);
@@ -228,8 +229,8 @@
 }
 
 static void
-report_unknown (const fc_row_t *row, const fc_schema_t *schema, const fc_toml_t *node,
-                fc_problems_t *problems)
+report_unknown_key (const fc_row_t *row, const fc_schema_t *schema, const fc_toml_t *node,
+                    fc_problems_t *problems)
 {
   GString *allowed = g_string_new ("");
   char *name = quote_text (node->key);
@@ -238,7 +239,7 @@
   for (size_t i = 0; i < row->count; i++)
     g_string_append_printf (allowed, ", %s", row->values[i].field->key);
   for (size_t i = 0; !row->path[0] && i < schema->count; i++)
-    if (is_new_section (schema, i))
+    if (starts_section (schema, i))
       g_string_append_printf (allowed, ", %s", schema->fields[i].section);
   g_string_erase (allowed, 0, 2);
   g_string_prepend (allowed, "one of ");
@@ -263,7 +264,7 @@
 fc_check_row (fc_row_t *row, const fc_schema_t *schema, const char *section, const char *path,
               const fc_toml_t *table, fc_problems_t *problems)
 {
-  bool given[FC_ROW_MAX] = { false };
+  bool present[FC_ROW_KEYS_MAX] = { false };
 
   memset (row, 0, sizeof *row);
   row->table = table;
@@ -271,29 +272,29 @@
   for (size_t i = 0; i < schema->count; i++)
     if (strcmp (schema->fields[i].section, section) == 0)
       {
-        FB_INVARIANT (row->count < FC_ROW_MAX);
+        FB_INVARIANT (row->count < FC_ROW_KEYS_MAX);
         row->values[row->count].field = &schema->fields[i];
         set_default (&row->values[row->count++]);
       }
   for (const fc_toml_t *node = table ? table->child : NULL; node; node = node->next)
     {
       fc_value_t *value = find_value (row, node->key);
-      const char *inner = path[0] ? NULL : find_section (schema, node->key);
+      const char *section_name = path[0] ? NULL : find_section (schema, node->key);
 
       if (!value)
         {
-          if (inner)
-            check_section_kind (schema, inner, node, problems);
+          if (section_name)
+            check_section_type (schema, section_name, node, problems);
           else
-            report_unknown (row, schema, node, problems);
+            report_unknown_key (row, schema, node, problems);
           continue;
         }
-      given[value - row->values] = true;
-      if (!take_value (value, node))
+      present[value - row->values] = true;
+      if (!accept_value (value, node))
         fc_add_node_problem (problems, row, value->field->key, node, NULL);
-      check_elements (row, value, problems);
+      check_array_elements (row, value, problems);
     }
   for (size_t i = 0; i < row->count; i++)
-    if (!given[i] && !row->values[i].field->default_text)
-      fc_add_row_problem (problems, row, row->values[i].field->key, "nothing", NULL);
+    if (!present[i] && !row->values[i].field->default_text)
+      fc_add_key_problem (problems, row, row->values[i].field->key, "nothing", NULL);
 }
--- a/packages/config/source/check-service.c
+++ b/packages/config/source/check-service.c
@@ -1,5 +1,5 @@
 /* Check of services and their dependencies. */
-#include "check-parts.h"
+#include "checker.h"
 #include <string.h>
 
 static void
@@ -14,7 +14,7 @@
   g_free (key);
 }
 
-/* Resolves the strings of LIST, an array, into SERVICE's dependencies. */
+/* Stores the services named in LIST, an array, as SERVICE's dependencies. */
 static void
 resolve_dependencies (const fc_checker_t *checker, size_t service, const fc_toml_t *list)
 {
@@ -23,13 +23,13 @@
   GHashTable *seen = g_hash_table_new (NULL, NULL);
   size_t count = 0;
 
-  g_ptr_array_add (snapshot->lists, indexes);
+  g_ptr_array_add (snapshot->arrays, indexes);
   for (const fc_toml_t *node = list->child; node; node = node->next)
     {
       size_t index;
 
       if (node->kind != FC_TOML_STRING)
-        continue; /* reported with the row */
+        continue; /* reported by fc_check_row */
       if (!fc_find_name (snapshot->service_names, node->text, &index))
         report_dependency (checker, service, node, "the name of a service");
       else if (!g_hash_table_add (seen, GSIZE_TO_POINTER (index)))
--- a/packages/config/source/check-text.c
+++ b/packages/config/source/check-text.c
@@ -1,10 +1,10 @@
-/* Forms of strings: names, paths, addresses, keys. */
+/* Validation of strings: names, paths, addresses, keys. */
 #include "check-text.h"
 #include <arpa/inet.h>
 #include <glib.h>
 #include <string.h>
 
-/* Bounds on a route's path keep the route index small. */
+/* The limits on a path keep the route index small. */
 #define PATH_MAX_BYTES 255
 #define PATH_SEGMENTS_MAX 32
 
@@ -37,7 +37,7 @@
 }
 
 static bool
-is_key (fb_str_t text)
+is_admin_key (fb_str_t text)
 {
   if (text.len < KEY_MIN_BYTES || text.len > FB_NAME_MAX)
     return false;
@@ -63,7 +63,7 @@
       if (c != '/')
         continue;
       segments++;
-      /* An empty segment can be neither inside nor at the end, except in "/" itself. */
+      /* Only "/" itself has an empty segment. */
       if (text.len > 1 && (i + 1 == text.len || text.data[i + 1] == '/'))
         return false;
     }
@@ -107,8 +107,8 @@
       return fc_is_address (text);
     case FC_TYPE_CHOICE:
       return is_choice (text, field->allowed);
-    case FC_TYPE_KEY:
-      return is_key (text);
+    case FC_TYPE_ADMIN_KEY:
+      return is_admin_key (text);
     default:
       return false;
     }
--- a/packages/config/source/delta.c
+++ b/packages/config/source/delta.c
@@ -1,4 +1,4 @@
-/* Compressed transfer of documents with zstd. */
+/* Compression of documents with zstd. */
 #include <foxtailrun/base/invariant.h>
 #include <foxtailrun/config/delta.h>
 #include <foxtailrun/config/snapshot.h>
@@ -26,7 +26,7 @@
     ZSTD_CCtx_refPrefix (context, base.data, base.len);
   result = ZSTD_compress2 (context, frame, bound, document.data, document.len);
   ZSTD_freeCCtx (context);
-  /* The output buffer is as large as the worst case, so that only misuse can fail. */
+  /* The buffer has the size of the worst case, so that only invalid parameters can fail. */
   FB_INVARIANT (!ZSTD_isError (result));
   *length = result;
   return frame;
@@ -54,7 +54,7 @@
   ZSTD_DCtx_setParameter (context, ZSTD_d_windowLogMax, WINDOW_LOG);
   if (base.len > 0)
     ZSTD_DCtx_refPrefix (context, base.data, base.len);
-  /* One byte at least, as an empty document has no buffer of its own. */
+  /* At least one byte, as g_malloc returns NULL for 0. */
   buffer = g_malloc ((size_t)size + 1);
   result = ZSTD_decompressDCtx (context, buffer, (size_t)size, frame.data, frame.len);
   ZSTD_freeDCtx (context);
--- a/packages/config/source/file-read.c
+++ b/packages/config/source/file-read.c
@@ -43,7 +43,7 @@
       status = errno == ENOENT ? FB_NOT_FOUND : FB_IO;
       goto failed;
     }
-  /* One byte more than allowed shows that the file is larger. */
+  /* One byte beyond the limit shows that the file is larger. */
   buffer = g_malloc (max + 1);
   count = read_all (file, buffer, max + 1);
   if (count < 0)
--- a/packages/config/source/problem.c
+++ b/packages/config/source/problem.c
@@ -1,9 +1,9 @@
-/* The list of problems, ordered by line. */
+/* List of problems, sorted by line. */
 #include <foxtailrun/config/problem.h>
 #include <glib.h>
 #include <string.h>
 
-/* Bounds the memory that a hostile document takes: 1 MB can hold 250,000 unknown keys. */
+/* Bounds the memory use of a hostile document: 1 MB can have 250,000 unknown keys. */
 #define PROBLEMS_MAX 1000
 
 struct fc_problems
@@ -34,8 +34,7 @@
   return order;
 }
 
-/* Inserts behind every problem that is not above; a document's problems arrive nearly sorted.
- */
+/* Inserts PROBLEM in sorted order, from the end, as problems are added nearly sorted. */
 static void
 insert_problem (fc_problems_t *problems, fc_problem_t *problem)
 {
@@ -64,8 +63,8 @@
   g_free (problems);
 }
 
-/* Copies TEXT as one line of valid UTF-8: what a file holds must not control the terminal or
- * break the output as JSON. */
+/* Copies TEXT as one line of valid UTF-8, so that the contents of a file cannot control the
+ * terminal or make the JSON output invalid. */
 static char *
 copy_printable (const char *text)
 {
--- a/packages/config/source/route-index.c
+++ b/packages/config/source/route-index.c
@@ -1,5 +1,5 @@
-/* A tree of path segments below each host, held as one hash table from (parent, segment) to
- * node, so that a lookup costs one probe for each segment of the request's path. */
+/* A tree of path segments for each host, stored as one hash table from (parent, segment) to
+ * node, so that a lookup costs one probe per segment of the request's path. */
 #include "route-index.h"
 #include <foxtailrun/base/digest.h>
 #include <glib.h>
@@ -8,13 +8,13 @@
 #define NONE UINT32_MAX
 #define ROOT 0
 
-/* The table doubles at 1/2 full. */
-#define SLOTS_FIRST 64
+/* The table doubles when half of it is used. */
+#define SLOTS_INITIAL 64
 
 typedef struct
 {
   uint32_t parent;
-  uint32_t entry; /* first of the node's routes, NONE without */
+  uint32_t entry; /* first of the node's routes; NONE for none */
   uint64_t hash;
   fb_str_t segment;
 } node_t;
@@ -24,7 +24,7 @@
   fc_methods_t methods;
   uint32_t route;
   uint32_t next;
-  bool below; /* matches only paths that go on */
+  bool below; /* matches only paths that continue after the prefix */
 } entry_t;
 
 struct fc_route_index
@@ -50,18 +50,19 @@
   return 0;
 }
 
-/* Stores the next segment of PATH from *AT, which stands on a "/"; returns false at the end. */
+/* Stores the segment after the "/" at *OFFSET of PATH and advances *OFFSET behind it; returns
+ * false at the end. */
 static bool
-take_segment (fb_str_t path, size_t *at, fb_str_t *segment)
+next_segment (fb_str_t path, size_t *offset, fb_str_t *segment)
 {
   const char *end;
-  size_t start = *at + 1;
+  size_t start = *offset + 1;
 
   if (start >= path.len)
     return false;
   end = memchr (path.data + start, '/', path.len - start);
-  *at = end ? (size_t)(end - path.data) : path.len;
-  *segment = (fb_str_t){ path.data + start, *at - start };
+  *offset = end ? (size_t)(end - path.data) : path.len;
+  *segment = (fb_str_t){ path.data + start, *offset - start };
   return true;
 }
 
@@ -105,7 +106,7 @@
   index->nodes = g_array_new (FALSE, FALSE, sizeof (node_t));
   index->entries = g_array_new (FALSE, FALSE, sizeof (entry_t));
   g_array_append_val (index->nodes, root);
-  resize_slots (index, SLOTS_FIRST);
+  resize_slots (index, SLOTS_INITIAL);
   return index;
 }
 
@@ -142,28 +143,28 @@
               uint32_t number, uint32_t *earlier)
 {
   entry_t entry = { .methods = methods, .route = number, .below = route->below };
-  uint32_t at_node = add_node (index, ROOT, route->host);
+  uint32_t node_number = add_node (index, ROOT, route->host);
   fb_str_t segment;
-  size_t at = 0;
+  size_t offset = 0;
 
-  while (take_segment (route->path, &at, &segment))
-    at_node = add_node (index, at_node, segment);
-  for (uint32_t i = NODE (index, at_node).entry; i != NONE; i = ENTRY (index, i).next)
+  while (next_segment (route->path, &offset, &segment))
+    node_number = add_node (index, node_number, segment);
+  for (uint32_t i = NODE (index, node_number).entry; i != NONE; i = ENTRY (index, i).next)
     if (ENTRY (index, i).below == entry.below && (ENTRY (index, i).methods & methods))
       {
         *earlier = ENTRY (index, i).route;
         return false;
       }
-  entry.next = NODE (index, at_node).entry;
-  NODE (index, at_node).entry = index->entries->len;
+  entry.next = NODE (index, node_number).entry;
+  NODE (index, node_number).entry = index->entries->len;
   g_array_append_val (index->entries, entry);
   return true;
 }
 
-/* Returns the best route at node NUMBER, or NONE: one that matches only paths that go on has
- * the longer prefix. */
+/* Returns the route at node NUMBER that matches, or NONE. When the path continues, a route with
+ * BELOW has precedence, as its prefix is longer by the "/". */
 static uint32_t
-match_method (const fc_route_index_t *index, uint32_t number, fc_methods_t bit, bool goes_on)
+match_node (const fc_route_index_t *index, uint32_t number, fc_methods_t bit, bool continues)
 {
   uint32_t best = NONE;
 
@@ -173,7 +174,7 @@
 
       if (!(entry->methods & bit) && entry->methods != FC_METHODS_ALL)
         continue;
-      if (entry->below && goes_on)
+      if (entry->below && continues)
         return entry->route;
       if (!entry->below)
         best = entry->route;
@@ -187,23 +188,24 @@
   return index->slots[find_slot (index, parent, fb_hash_str (segment, parent), segment)];
 }
 
-/* Finds the longest prefix below HOST, which is a node. */
+/* Returns the route of node HOST with the longest prefix of PATH, or NONE. */
 static uint32_t
-find_below (const fc_route_index_t *index, uint32_t host, fc_methods_t bit, fb_str_t path)
+find_longest_prefix (const fc_route_index_t *index, uint32_t host, fc_methods_t bit,
+                     fb_str_t path)
 {
   uint32_t number = host;
-  uint32_t best = match_method (index, host, bit, true);
+  uint32_t best = match_node (index, host, bit, true);
   fb_str_t segment;
-  size_t at = 0;
+  size_t offset = 0;
 
-  while (take_segment (path, &at, &segment))
+  while (next_segment (path, &offset, &segment))
     {
       uint32_t match;
 
       number = find_child (index, number, segment);
       if (number == NONE)
         break;
-      match = match_method (index, number, bit, at < path.len);
+      match = match_node (index, number, bit, offset < path.len);
       if (match != NONE)
         best = match;
     }
@@ -222,9 +224,9 @@
     path.len = (size_t)(query - path.data);
   if (path.len == 0 || path.data[0] != '/')
     return false;
-  *route = number == NONE ? NONE : find_below (index, number, bit, path);
+  *route = number == NONE ? NONE : find_longest_prefix (index, number, bit, path);
   if (*route == NONE && host.len > 0
       && (number = find_child (index, ROOT, FB_LITERAL (""))) != NONE)
-    *route = find_below (index, number, bit, path);
+    *route = find_longest_prefix (index, number, bit, path);
   return *route != NONE;
 }
--- a/packages/config/source/route-index.h
+++ b/packages/config/source/route-index.h
@@ -4,13 +4,13 @@
 
 #include <foxtailrun/config/snapshot.h>
 
-/* A set of methods, one bit each. */
+/* A set of HTTP methods, one bit each. */
 typedef uint32_t fc_methods_t;
 
-/* Every method, also those without a bit of their own. */
+/* Every method, including those without a bit. */
 #define FC_METHODS_ALL UINT32_MAX
 
-/* Returns the bit of METHOD, or 0 when a route cannot list it. */
+/* Returns the bit of METHOD, or 0 when it is not one of those that a route can list. */
 fc_methods_t fc_get_method_bit (fb_str_t method);
 
 typedef struct fc_route_index fc_route_index_t;
@@ -21,13 +21,14 @@
 /* Frees the index; NULL is allowed. */
 void fc_destroy_route_index (fc_route_index_t *index);
 
-/* Adds ROUTE, which is number NUMBER, for METHODS. Returns false when an earlier route has the
- * same host, prefix and one of the methods; *EARLIER is its number. */
+/* Adds ROUTE with index NUMBER for METHODS. Returns false when an earlier route has the same
+ * host, prefix and "below" and one of METHODS, and stores its index in *EARLIER. ROUTE's texts
+ * must outlive the index. */
 bool fc_add_route (fc_route_index_t *index, const fc_route_t *route, fc_methods_t methods,
                    uint32_t number, uint32_t *earlier);
 
-/* Finds the route of HOST, or of every host, with the longest prefix of PATH that allows
- * METHOD; returns false when there is none. */
+/* Stores in *ROUTE the index of the route that fc_find_route returns; returns false when there
+ * is none. */
 bool fc_find_indexed_route (const fc_route_index_t *index, fb_str_t host, fb_str_t method,
                             fb_str_t path, uint32_t *route);
 
--- a/packages/config/source/schema.c
+++ b/packages/config/source/schema.c
@@ -1,4 +1,4 @@
-/* The schema tables. */
+/* Schemas of the configuration document and of the settings file. */
 #include <foxtailrun/base/string.h>
 #include <foxtailrun/config/schema.h>
 #include <foxtailrun/config/settings.h>
@@ -14,7 +14,7 @@
 #define METHODS_TEXT "GET, HEAD, POST, PUT, PATCH, DELETE or OPTIONS, each at most once"
 #define PORT_MAX 65535
 
-/* Largest integer that every JSON reader keeps exactly. */
+/* Largest integer that every JSON parser represents exactly. */
 #define VERSION_MAX 9007199254740991.0
 
 static const fc_field_t document_fields[] = {
@@ -50,7 +50,7 @@
     "methods of the route; none listed means every method" },
   { "route", "service", FC_TYPE_REFERENCE, "", NULL, 0, 0, "the name of a service",
     "service that runs the calls" },
-  { "route", "parts", FC_TYPE_PARTS, "", "[]", 0, 0,
+  { "route", "parts", FC_TYPE_WEIGHTED_SERVICES, "", "[]", 0, 0,
     "different \"NAME=WEIGHT\" with the name of a service and a weight from 1 to 1000000",
     "services that share the calls by weight in place of the one service" },
   { "route", "rank", FC_TYPE_REFERENCE, "", NULL, 0, 0, "the name of a rank",
@@ -118,7 +118,7 @@
     "at most 32 different \"IP:PORT\" or \"[IPv6]:PORT\"",
     "control addresses of nodes to join by" },
 
-  { "admin", "key", FC_TYPE_KEY, "", "", 0, 0,
+  { "admin", "key", FC_TYPE_ADMIN_KEY, "", "", 0, 0,
     "8 to 47 printable ASCII characters without spaces",
     "key for calls that change something; they are refused without one" },
 
@@ -154,7 +154,7 @@
     case FC_TYPE_PATH:
     case FC_TYPE_ADDRESS:
     case FC_TYPE_CHOICE:
-    case FC_TYPE_KEY:
+    case FC_TYPE_ADMIN_KEY:
     case FC_TYPE_HOST:
       return "string";
     case FC_TYPE_INTEGER:
@@ -165,7 +165,7 @@
       return "boolean";
     case FC_TYPE_REFERENCES:
     case FC_TYPE_METHODS:
-    case FC_TYPE_PARTS:
+    case FC_TYPE_WEIGHTED_SERVICES:
     case FC_TYPE_SOCKET_ADDRESSES:
       return "array of strings";
     }
@@ -183,7 +183,7 @@
       return g_strdup_printf ("a number from %.10g to %.10g", field->min, field->max);
     case FC_TYPE_REFERENCES:
     case FC_TYPE_METHODS:
-    case FC_TYPE_PARTS:
+    case FC_TYPE_WEIGHTED_SERVICES:
     case FC_TYPE_SOCKET_ADDRESSES:
       return g_strdup_printf ("an array of %s", field->allowed);
     case FC_TYPE_CHOICE:
--- a/packages/config/source/section.c
+++ b/packages/config/source/section.c
@@ -1,15 +1,15 @@
-/* Division of a document's text at its [[...]] headers. */
+/* Splits the text of a document at its [[...]] headers. */
 #include "section.h"
 #include <foxtailrun/base/digest.h>
 #include <string.h>
 
-static const char *const names[FC_SECTION_KINDS]
+static const char *const section_names[FC_SECTION_KINDS]
     = { "rank", "service", "route", "customer", "objective" };
 
 const char *
 fc_get_section_name (uint32_t kind)
 {
-  return names[kind];
+  return section_names[kind];
 }
 
 static bool
@@ -34,13 +34,13 @@
   fb_str_t line = { section.data, end ? (size_t)(end - section.data) : section.len };
 
   for (*kind = 0; *kind < FC_SECTION_KINDS; (*kind)++)
-    if (is_header_of (line, names[*kind]))
+    if (is_header_of (line, section_names[*kind]))
       return true;
   return false;
 }
 
 GArray *
-fc_divide_text (fb_str_t text, const fc_headers_t *headers)
+fc_split_sections (fb_str_t text, const fc_headers_t *headers)
 {
   size_t count = headers->items->len;
   GArray *sections;
--- a/packages/config/source/section.h
+++ b/packages/config/source/section.h
@@ -1,11 +1,11 @@
-/* Division of a document's text at its [[...]] headers. */
+/* Sections of a document's text, split at its [[...]] headers. */
 #ifndef FOXTAILRUN_CONFIG_SECTION_H
 #define FOXTAILRUN_CONFIG_SECTION_H
 
 #include "toml-tree.h"
 #include <glib.h>
 
-/* Kinds of [[...]] tables. */
+/* Number of section kinds. */
 #define FC_SECTION_KINDS 5
 
 typedef enum
@@ -17,7 +17,7 @@
   FC_SECTION_OBJECTIVE
 } fc_section_kind_t;
 
-/* One table: its header line and all lines up to the next header. */
+/* A table: its header line and all lines up to the next header. */
 typedef struct
 {
   uint64_t hash;    /* xxHash64 of the text */
@@ -28,12 +28,12 @@
   uint32_t element; /* index of the table's element in the snapshot */
 } fc_section_t;
 
-/* Returns the name of KIND in a document. */
+/* Returns the name of KIND in a header, such as "rank"; static. */
 const char *fc_get_section_name (uint32_t kind);
 
-/* Divides TEXT, which has passed fc_scan_toml with HEADERS as result. Returns the sections
- * (fc_section_t), to be released with g_array_unref, or NULL when HEADERS is not divisible or a
- * header is not exactly "[[kind]]" and at most blanks and a comment. */
-GArray *fc_divide_text (fb_str_t text, const fc_headers_t *headers);
+/* Splits TEXT, for which fc_scan_headers stored HEADERS. Returns the sections (fc_section_t),
+ * to be released with g_array_unref, or NULL when HEADERS is not divisible or a header line is
+ * anything but "[[kind]]", blanks and a comment. */
+GArray *fc_split_sections (fb_str_t text, const fc_headers_t *headers);
 
 #endif
--- a/packages/config/source/settings.c
+++ b/packages/config/source/settings.c
@@ -5,7 +5,7 @@
 #include <glib.h>
 #include <string.h>
 
-/* Bounds the work on a file that is no settings file. */
+/* Bounds the work on a file that is not a settings file. */
 #define SETTINGS_MAX_BYTES (64 * 1024)
 
 static void
@@ -20,13 +20,13 @@
 }
 
 static void
-take_name (fb_name_t *name, const fc_row_t *row, const char *key)
+store_name (fb_name_t *name, const fc_row_t *row, const char *key)
 {
   fb_set_name (name, fc_get_value (row, key)->text);
 }
 
 static uint16_t
-take_port (const fc_row_t *row, const char *key)
+get_port (const fc_row_t *row, const char *key)
 {
   return (uint16_t)fc_get_value (row, key)->integer;
 }
@@ -37,10 +37,10 @@
   fc_row_t row;
 
   check_section (&row, root, "node", problems);
-  take_name (&settings->id, &row, "id");
-  take_name (&settings->zone, &row, "zone");
-  take_name (&settings->region, &row, "region");
-  take_name (&settings->service, &row, "service");
+  store_name (&settings->id, &row, "id");
+  store_name (&settings->zone, &row, "zone");
+  store_name (&settings->region, &row, "region");
+  store_name (&settings->service, &row, "service");
 }
 
 static void
@@ -52,19 +52,19 @@
   fc_row_t row;
 
   check_section (&row, root, "listen", problems);
-  take_name (&settings->address, &row, "address");
+  store_name (&settings->address, &row, "address");
   if (strcmp (settings->address.data, "0.0.0.0") == 0
       || strcmp (settings->address.data, "::") == 0)
     fc_add_node_problem (problems, &row, "address", fc_get_value (&row, "address")->node, NULL);
   for (size_t i = 0; i < G_N_ELEMENTS (keys); i++)
     {
-      ports[i] = take_port (&row, keys[i]);
+      ports[i] = get_port (&row, keys[i]);
       for (size_t j = 0; j < i; j++)
         if (ports[i] == ports[j])
           {
             char *found = g_strdup_printf ("%u, as in listen.%s", ports[i], keys[j]);
 
-            fc_add_row_problem (problems, &row, keys[i], found, "a port of its own");
+            fc_add_key_problem (problems, &row, keys[i], found, "a port of its own");
             g_free (found);
             break;
           }
@@ -73,7 +73,7 @@
   settings->call_port = ports[1];
   settings->control_port = ports[2];
   settings->admin_port = ports[3];
-  settings->ready_port = take_port (&row, "ready_port");
+  settings->ready_port = get_port (&row, "ready_port");
   check_section (&row, root, "drain", problems);
   settings->drain_timeout
       = (fb_time_t)fc_get_value (&row, "limit_ms")->integer * FB_MILLISECOND;
@@ -86,10 +86,10 @@
   fc_row_t row;
 
   check_section (&row, root, "backend", problems);
-  take_name (&settings->backend.address, &row, "address");
-  settings->backend.port = take_port (&row, "port");
+  store_name (&settings->backend.address, &row, "address");
+  settings->backend.port = get_port (&row, "port");
   if (settings->service.len > 0 && !fc_find_child (table, "port"))
-    fc_add_row_problem (problems, &row, "port", "nothing", NULL);
+    fc_add_key_problem (problems, &row, "port", "nothing", NULL);
   if (settings->service.len == 0 && table
       && !fc_find_child (fc_find_child (root, "node"), "service"))
     fc_add_problem (problems, table->line, "backend", "a table",
@@ -103,14 +103,14 @@
   fc_row_t row;
 
   check_section (&row, root, "platform", problems);
-  take_name (&settings->platform.address, &row, "address");
-  settings->platform.port = take_port (&row, "port");
+  store_name (&settings->platform.address, &row, "address");
+  settings->platform.port = get_port (&row, "port");
   if (table && table->kind == FC_TOML_TABLE && !fc_find_child (table, "port"))
-    fc_add_row_problem (problems, &row, "port", "nothing", NULL);
+    fc_add_key_problem (problems, &row, "port", "nothing", NULL);
 }
 
 bool
-fc_parse_socket_address (fb_str_t text, fc_socket_address_t *endpoint)
+fc_parse_socket_address (fb_str_t text, fc_socket_address_t *socket_address)
 {
   const char *colon = text.len ? memrchr (text.data, ':', text.len) : NULL;
   fb_str_t address;
@@ -126,12 +126,12 @@
     address = (fb_str_t){ address.data + 1, address.len - 2 };
   else if (address.len > 0 && memchr (address.data, ':', address.len))
     return false;
-  endpoint->port = (uint16_t)port;
-  return fc_is_address (address) && fb_set_name (&endpoint->address, address);
+  socket_address->port = (uint16_t)port;
+  return fc_is_address (address) && fb_set_name (&socket_address->address, address);
 }
 
 static bool
-is_known_seed (const fc_settings_t *settings, const fc_socket_address_t *seed)
+has_seed (const fc_settings_t *settings, const fc_socket_address_t *seed)
 {
   for (size_t i = 0; i < settings->seed_count; i++)
     if (settings->seeds[i].port == seed->port
@@ -152,7 +152,7 @@
     {
       fc_socket_address_t seed;
 
-      if (!fc_parse_socket_address (node->text, &seed) || is_known_seed (settings, &seed)
+      if (!fc_parse_socket_address (node->text, &seed) || has_seed (settings, &seed)
           || settings->seed_count == FC_SEEDS_MAX)
         fc_add_node_problem (problems, &row, "nodes", node, NULL);
       else
@@ -166,7 +166,7 @@
   fc_row_t row;
 
   check_section (&row, root, "admin", problems);
-  take_name (&settings->admin_key, &row, "key");
+  store_name (&settings->admin_key, &row, "key");
   check_section (&row, root, "log", problems);
   if (fb_parse_log_level (fc_get_value (&row, "level")->text, &settings->log_level) != FB_OK)
     settings->log_level = FB_LOG_INFO;
--- a/packages/config/source/snapshot-parts.h
+++ b/packages/config/source/snapshot-internal.h
@@ -1,5 +1,4 @@
-/* The inside of a snapshot, shared by the checker that builds it and the functions that read
- * it. */
+/* Structure of a snapshot, for the checker that creates it and the functions that read it. */
 #ifndef FOXTAILRUN_CONFIG_SNAPSHOT_PARTS_H
 #define FOXTAILRUN_CONFIG_SNAPSHOT_PARTS_H
 
@@ -10,10 +9,10 @@
 struct fc_snapshot
 {
   gint references;
-  uint64_t number;
-  uint32_t idle_ms;
+  uint64_t version_number;
+  uint32_t idle_timeout_ms;
   uint8_t *document;
-  size_t length;
+  size_t document_length;
   fc_rank_t *ranks;
   size_t rank_count;
   fc_service_t *services;
@@ -28,21 +27,21 @@
   GHashTable *service_names;  /* fb_name_t in services to index */
   GHashTable *customer_names; /* fb_name_t in customers to index */
   GStringChunk *texts;        /* paths and methods of routes */
-  GPtrArray *lists;           /* depends_on of services */
-  fc_route_index_t *index;
-  GArray *sections; /* fc_section_t, for checks based on this one; NULL when not divisible */
+  GPtrArray *arrays;          /* depends_on of services, parts of routes */
+  fc_route_index_t *route_index;
+  GArray *sections; /* fc_section_t, for fc_check_change; NULL when not divisible */
 };
 
-/* Creates an empty snapshot with one reference that holds a copy of DOCUMENT. */
+/* Creates a snapshot without elements, with one reference and a copy of DOCUMENT. */
 fc_snapshot_t *fc_create_snapshot (fb_bytes_t document);
 
-/* Creates a table from names, borrowed, to indexes. */
-GHashTable *fc_create_names (void);
+/* Creates a hash table from names, which are borrowed, to indexes. */
+GHashTable *fc_create_name_table (void);
 
-/* Adds NAME with INDEX, or returns false and the earlier one's index in *EARLIER. */
+/* Adds NAME with INDEX. Returns false when NAME exists, with its index in *EARLIER. */
 bool fc_add_name (GHashTable *names, const fb_name_t *name, size_t index, size_t *earlier);
 
-/* Finds TEXT; returns false when it is missing. */
+/* Stores the index of the name TEXT in *INDEX; returns false when it does not exist. */
 bool fc_find_name (GHashTable *names, fb_str_t text, size_t *index);
 
 #endif
--- a/packages/config/source/snapshot.c
+++ b/packages/config/source/snapshot.c
@@ -1,5 +1,5 @@
-/* Reading a snapshot. */
-#include "snapshot-parts.h"
+/* Creation, reference counting and lookups of snapshots. */
+#include "snapshot-internal.h"
 #include <foxtailrun/base/digest.h>
 #include <foxtailrun/base/invariant.h>
 #include <string.h>
@@ -7,7 +7,7 @@
 #define CUSTOMER_WEIGHT_DEFAULT 1.0
 
 GHashTable *
-fc_create_names (void)
+fc_create_name_table (void)
 {
   return g_hash_table_new (fb_hash_name_key, fb_equal_name_keys);
 }
@@ -45,13 +45,13 @@
 
   snapshot->references = 1;
   snapshot->document = g_memdup2 (document.data, document.len);
-  snapshot->length = document.len;
-  snapshot->rank_names = fc_create_names ();
-  snapshot->service_names = fc_create_names ();
-  snapshot->customer_names = fc_create_names ();
+  snapshot->document_length = document.len;
+  snapshot->rank_names = fc_create_name_table ();
+  snapshot->service_names = fc_create_name_table ();
+  snapshot->customer_names = fc_create_name_table ();
   snapshot->texts = g_string_chunk_new (4096);
-  snapshot->lists = g_ptr_array_new_with_free_func (g_free);
-  snapshot->index = fc_create_route_index ();
+  snapshot->arrays = g_ptr_array_new_with_free_func (g_free);
+  snapshot->route_index = fc_create_route_index ();
   return snapshot;
 }
 
@@ -60,8 +60,8 @@
 {
   if (snapshot->sections)
     g_array_unref (snapshot->sections);
-  fc_destroy_route_index (snapshot->index);
-  g_ptr_array_unref (snapshot->lists);
+  fc_destroy_route_index (snapshot->route_index);
+  g_ptr_array_unref (snapshot->arrays);
   g_string_chunk_free (snapshot->texts);
   g_hash_table_unref (snapshot->customer_names);
   g_hash_table_unref (snapshot->service_names);
@@ -100,19 +100,19 @@
 uint64_t
 fc_get_version_number (const fc_snapshot_t *snapshot)
 {
-  return snapshot->number;
+  return snapshot->version_number;
 }
 
 uint32_t
 fc_get_idle_timeout_ms (const fc_snapshot_t *snapshot)
 {
-  return snapshot->idle_ms;
+  return snapshot->idle_timeout_ms;
 }
 
 fb_bytes_t
 fc_get_document (const fc_snapshot_t *snapshot)
 {
-  return (fb_bytes_t){ snapshot->document, snapshot->length };
+  return (fb_bytes_t){ snapshot->document, snapshot->document_length };
 }
 
 size_t
@@ -204,7 +204,7 @@
 {
   uint32_t found;
 
-  if (!fc_find_indexed_route (snapshot->index, host, method, path, &found))
+  if (!fc_find_indexed_route (snapshot->route_index, host, method, path, &found))
     return NULL;
   return &snapshot->routes[found];
 }
--- a/packages/config/source/toml-containers.h
+++ b/packages/config/source/toml-containers.h
@@ -1,4 +1,4 @@
-// Containers for the values of toml11 3.7, included by toml-parse.cc alone (C++).
+// Containers for the values of toml11 3.7; for toml-parse.cc only (C++).
 #ifndef FOXTAILRUN_CONFIG_TOML_CONTAINERS_H
 #define FOXTAILRUN_CONFIG_TOML_CONTAINERS_H
 
@@ -12,15 +12,15 @@
 namespace foxtailrun
 {
 
-// A vector whose ends are checked: toml11 3.7 takes the last element of an empty array when a
-// table header names it, as in "a = []" before "[a.b]".
+// A vector with checked front and back: toml11 3.7 accesses the last element of an empty array
+// when a table header names it, as in "a = []" before "[a.b]".
 template <typename T, typename... Rest> class checked_vector : public std::vector<T, Rest...>
 {
 public:
   using base = std::vector<T, Rest...>;
   using base::base;
 
-  // Values have no noexcept move, so that the library's vector would copy every table as it
+  // The values' move constructor is not noexcept, so std::vector would copy every table when it
   // grows.
   void
   push_back (const T &item)
@@ -72,9 +72,9 @@
   }
 };
 
-// A map that is copied when it is changed and not before: the library copies each table about
-// four times on the way to its place, and the whole document once at the end. The order of keys
-// does not depend on a hash function, so that neither does the order of problems.
+// A copy-on-write map: the library copies each table about four times and the complete document
+// once at the end. The keys are sorted, so that the order of problems does not depend on a hash
+// function.
 template <typename Key, typename Item, typename... Rest> class shared_map
 {
 public:
@@ -94,12 +94,12 @@
   iterator
   begin ()
   {
-    return own ().begin ();
+    return detach ().begin ();
   }
   iterator
   end ()
   {
-    return own ().end ();
+    return detach ().end ();
   }
   const_iterator
   begin () const
@@ -129,7 +129,7 @@
   iterator
   find (const Key &key)
   {
-    return own ().find (key);
+    return detach ().find (key);
   }
   const_iterator
   find (const Key &key) const
@@ -139,7 +139,7 @@
   Item &
   at (const Key &key)
   {
-    return own ().at (key);
+    return detach ().at (key);
   }
   const Item &
   at (const Key &key) const
@@ -149,17 +149,17 @@
   Item &
   operator[] (const Key &key)
   {
-    return own ()[key];
+    return detach ()[key];
   }
   std::pair<iterator, bool>
   insert (const value_type &item)
   {
-    return own ().insert (item);
+    return detach ().insert (item);
   }
 
 private:
   base &
-  own ()
+  detach ()
   {
     if (items.use_count () > 1)
       items = std::make_shared<base> (*items);
--- a/packages/config/source/toml-fast.h
+++ b/packages/config/source/toml-lexer.h
@@ -1,11 +1,9 @@
-// Faster scanning for toml11 3.7, to be included before <toml.hpp> by toml-parse.cc alone
-// (C++).
+// Faster lexers for toml11 3.7; for toml-parse.cc only, before <toml.hpp> (C++).
 //
-// The library builds a region object, with a shared pointer and a string, for each character,
-// and a formatted report for each alternative that does not match, about four on each line of a
-// correct document. The specialisations below step over runs of plain characters at once and
-// match exactly what the library's own definitions match; the macro keeps of each report only
-// its message.
+// The library creates a region object, with a shared pointer and a string, for each character,
+// and formats an error report for each alternative that does not match, about four per line of
+// a valid document. The specialisations below skip runs of characters at once and match exactly
+// what the library's definitions match; the macro reduces an error report to its message.
 #ifndef FOXTAILRUN_CONFIG_TOML_FAST_H
 #define FOXTAILRUN_CONFIG_TOML_FAST_H
 
@@ -19,16 +17,16 @@
 namespace detail
 {
 
-// Matches ITEM any number of times, given that ITEM matches each IS_PLAIN character alone and
-// that no match starts with a character that is neither IS_PLAIN nor IS_START.
-template <typename Item, bool (*is_plain) (char), bool (*is_start) (char)>
+// Matches ITEM any number of times. ITEM must match every single IS_SINGLE character, and every
+// other match must start with an IS_START character.
+template <typename Item, bool (*is_single) (char), bool (*is_start) (char)>
 result<region, none_t>
 repeat_item (location &loc, bool at_least_one)
 {
   const auto first = loc.iter ();
   do
     {
-      const auto last = std::find_if_not (loc.iter (), loc.end (), is_plain);
+      const auto last = std::find_if_not (loc.iter (), loc.end (), is_single);
       if (last != loc.iter ())
         loc.advance (last - loc.iter ());
     }
@@ -39,7 +37,7 @@
 }
 
 inline bool
-is_none (char)
+is_no_char (char)
 {
   return false;
 }
@@ -81,7 +79,8 @@
          || c == '_';
 }
 
-// Characters of a basic string that are no escape; bytes of UTF-8 sequences count one by one.
+// Returns whether C is a byte of a basic string outside of escapes, such as of a UTF-8
+// sequence.
 inline bool
 is_string_char (char c)
 {
@@ -113,27 +112,27 @@
   return c == '\t' || (c >= 0x20 && c < 0x7F);
 }
 
-using fast_key_char = either<lex_alpha, lex_digit, character<'-'>, character<'_'> >;
-using fast_comment_char
+using key_char_lexer = either<lex_alpha, lex_digit, character<'-'>, character<'_'> >;
+using comment_char_lexer
     = either<lex_non_eol_ascii, lex_utf8_2byte, lex_utf8_3byte, lex_utf8_4byte>;
-using fast_digit = either<lex_digit, sequence<lex_underscore, lex_digit> >;
-using fast_line = sequence<maybe<lex_ws>, maybe<lex_comment>, lex_newline>;
+using digit_lexer = either<lex_digit, sequence<lex_underscore, lex_digit> >;
+using blank_line_lexer = sequence<maybe<lex_ws>, maybe<lex_comment>, lex_newline>;
 
 template <> struct repeat<lex_wschar, at_least<1> >
 {
   static result<region, none_t>
   invoke (location &loc)
   {
-    return repeat_item<lex_wschar, is_blank, is_none> (loc, true);
+    return repeat_item<lex_wschar, is_blank, is_no_char> (loc, true);
   }
 };
 
-template <> struct repeat<fast_key_char, at_least<1> >
+template <> struct repeat<key_char_lexer, at_least<1> >
 {
   static result<region, none_t>
   invoke (location &loc)
   {
-    return repeat_item<fast_key_char, is_key_char, is_none> (loc, true);
+    return repeat_item<key_char_lexer, is_key_char, is_no_char> (loc, true);
   }
 };
 
@@ -151,7 +150,7 @@
   static result<region, none_t>
   invoke (location &loc)
   {
-    return repeat_item<lex_basic_unescaped, is_string_char, is_none> (loc, false);
+    return repeat_item<lex_basic_unescaped, is_string_char, is_no_char> (loc, false);
   }
 };
 
@@ -164,35 +163,35 @@
   }
 };
 
-template <> struct repeat<fast_comment_char, unlimited>
+template <> struct repeat<comment_char_lexer, unlimited>
 {
   static result<region, none_t>
   invoke (location &loc)
   {
-    return repeat_item<fast_comment_char, is_comment_char, is_not_ascii> (loc, false);
+    return repeat_item<comment_char_lexer, is_comment_char, is_not_ascii> (loc, false);
   }
 };
 
-template <> struct repeat<fast_digit, at_least<1> >
+template <> struct repeat<digit_lexer, at_least<1> >
 {
   static result<region, none_t>
   invoke (location &loc)
   {
-    return repeat_item<fast_digit, is_digit, is_underscore> (loc, true);
+    return repeat_item<digit_lexer, is_digit, is_underscore> (loc, true);
   }
 };
 
 // Lines without a value.
-template <> struct repeat<fast_line, at_least<1> >
+template <> struct repeat<blank_line_lexer, at_least<1> >
 {
   static result<region, none_t>
   invoke (location &loc)
   {
-    return repeat_item<fast_line, is_newline, is_line_start> (loc, true);
+    return repeat_item<blank_line_lexer, is_newline, is_line_start> (loc, true);
   }
 };
 
-// Parts of dates, which are tried on every number.
+// Parts of dates, which the library tries to match at every number.
 template <std::size_t N> struct repeat<lex_digit, exactly<N> >
 {
   static result<region, none_t>
@@ -207,10 +206,11 @@
   }
 };
 
-// Dotted keys, which are tried on every key: a bare key without a dot behind it is none.
-using fast_dotted_rest = repeat<sequence<lex_dot_sep, lex_simple_key>, at_least<1> >;
+// Dotted keys, which the library tries to match at every key. A bare key that no dot follows is
+// not one.
+using dotted_rest_lexer = repeat<sequence<lex_dot_sep, lex_simple_key>, at_least<1> >;
 
-template <> struct sequence<lex_simple_key, fast_dotted_rest>
+template <> struct sequence<lex_simple_key, dotted_rest_lexer>
 {
   static result<region, none_t>
   invoke (location &loc)
@@ -222,12 +222,12 @@
         if (next == loc.end () || *next != '.')
           return none ();
       }
-    return sequence<lex_simple_key, either<fast_dotted_rest> >::invoke (loc);
+    return sequence<lex_simple_key, either<dotted_rest_lexer> >::invoke (loc);
   }
 };
 
 inline std::string
-keep_message (std::string message)
+get_message (std::string message)
 {
   return message;
 }
@@ -235,6 +235,6 @@
 } // namespace detail
 } // namespace toml
 
-#define format_underline(message, ...) keep_message (message)
+#define format_underline(message, ...) get_message (message)
 
 #endif
--- a/packages/config/source/toml-parse.cc
+++ b/packages/config/source/toml-parse.cc
@@ -1,4 +1,4 @@
-// Parses TOML with toml11 and hands it to C as a tree.
+// Parses TOML, with toml11 where the subset does not suffice, into a tree of C structures.
 #include <algorithm>
 #include <cstddef>
 #include <cstdint>
@@ -10,12 +10,12 @@
 #include <vector>
 
 #include "toml-containers.h"
-#include "toml-fast.h"
+#include "toml-lexer.h"
 #include <toml.hpp>
 
 extern "C"
 {
-#include "toml-plain.h"
+#include "toml-subset.h"
 }
 
 namespace
@@ -24,8 +24,8 @@
 using value = toml::basic_value<toml::discard_comments, foxtailrun::shared_map,
                                 foxtailrun::checked_vector>;
 
-// Longest piece of a line quoted in a syntax error, in bytes.
-constexpr size_t QUOTE_MAX = 60;
+// Maximum length of a line quoted in a syntax error.
+constexpr size_t QUOTE_MAX_BYTES = 60;
 
 } // namespace
 
@@ -40,12 +40,12 @@
 namespace
 {
 
-// Fills in where VALUE stands; the region's own line number counts lines from the top each
-// time.
+// Sets the line and the source of NODE to those of SOURCE. The line number of the region is not
+// used, as the library counts the lines from the start of the text on each call.
 void
-locate (const fc_toml_document &document, const value &from, fc_toml_t &node)
+set_location (const fc_toml_document &document, const value &source, fc_toml_t &node)
 {
-  auto region = dynamic_cast<const toml::detail::region *> (toml::detail::get_region (from));
+  auto region = dynamic_cast<const toml::detail::region *> (toml::detail::get_region (source));
   if (region == nullptr)
     return;
   size_t first = static_cast<size_t> (region->first () - region->begin ());
@@ -57,10 +57,10 @@
   node.source = fb_str_t{ document.text.data + first, last - first };
 }
 
-fc_toml_t *convert (fc_toml_document &document, const value &from, fb_str_t key);
+fc_toml_t *convert (fc_toml_document &document, const value &source, fb_str_t key);
 
 void
-append (fc_toml_t &parent, fc_toml_t *&last, fc_toml_t *child)
+append_child (fc_toml_t &parent, fc_toml_t *&last, fc_toml_t *child)
 {
   if (last == nullptr)
     parent.child = child;
@@ -71,52 +71,52 @@
 }
 
 void
-convert_children (fc_toml_document &document, const value &from, fc_toml_t &node)
+convert_children (fc_toml_document &document, const value &source, fc_toml_t &node)
 {
   fc_toml_t *last = nullptr;
-  if (from.is_table ())
-    for (const auto &item : from.as_table (std::nothrow))
-      append (
+  if (source.is_table ())
+    for (const auto &item : source.as_table (std::nothrow))
+      append_child (
           node, last,
           convert (document, item.second, fb_str_t{ item.first.data (), item.first.size () }));
   else
-    for (const auto &item : from.as_array (std::nothrow))
-      append (node, last, convert (document, item, fb_str_t{ "", 0 }));
+    for (const auto &item : source.as_array (std::nothrow))
+      append_child (node, last, convert (document, item, fb_str_t{ "", 0 }));
 }
 
 fc_toml_t *
-convert (fc_toml_document &document, const value &from, fb_str_t key)
+convert (fc_toml_document &document, const value &source, fb_str_t key)
 {
   document.nodes.emplace_back ();
   fc_toml_t &node = document.nodes.back ();
   node.key = key;
-  locate (document, from, node);
-  switch (from.type ())
+  set_location (document, source, node);
+  switch (source.type ())
     {
     case toml::value_t::table:
     case toml::value_t::array:
-      node.kind = from.is_table () ? FC_TOML_TABLE : FC_TOML_ARRAY;
-      convert_children (document, from, node);
+      node.kind = source.is_table () ? FC_TOML_TABLE : FC_TOML_ARRAY;
+      convert_children (document, source, node);
       break;
     case toml::value_t::string:
       {
-        const std::string &text = from.as_string (std::nothrow).str;
+        const std::string &text = source.as_string (std::nothrow).str;
         node.kind = FC_TOML_STRING;
         node.text = fb_str_t{ text.data (), text.size () };
         break;
       }
     case toml::value_t::integer:
       node.kind = FC_TOML_INTEGER;
-      node.integer = from.as_integer (std::nothrow);
+      node.integer = source.as_integer (std::nothrow);
       node.number = static_cast<double> (node.integer);
       break;
     case toml::value_t::floating:
       node.kind = FC_TOML_FLOAT;
-      node.number = from.as_floating (std::nothrow);
+      node.number = source.as_floating (std::nothrow);
       break;
     case toml::value_t::boolean:
       node.kind = FC_TOML_BOOLEAN;
-      node.integer = from.as_boolean (std::nothrow) ? 1 : 0;
+      node.integer = source.as_boolean (std::nothrow) ? 1 : 0;
       break;
     default:
       node.kind = FC_TOML_TIME;
@@ -134,9 +134,9 @@
       document.lines.push_back (i + 1);
 }
 
-// Reduces "toml::function: message" to the message.
+// Returns the message of "toml::function: message".
 std::string
-shorten (const char *what)
+extract_message (const char *what)
 {
   std::string message (what, std::strcspn (what, "\n"));
   size_t start = message.find ("toml::");
@@ -148,7 +148,7 @@
   return message.empty () ? "a value is malformed" : message;
 }
 
-// Returns line NUMBER without the blanks around it.
+// Returns line NUMBER, truncated and without surrounding blanks.
 std::string
 quote_line (fb_str_t text, size_t number)
 {
@@ -164,7 +164,7 @@
     line++;
   while (line < end && static_cast<unsigned char> (end[-1]) <= ' ')
     end--;
-  std::string quote (line, std::min (static_cast<size_t> (end - line), QUOTE_MAX));
+  std::string quote (line, std::min (static_cast<size_t> (end - line), QUOTE_MAX_BYTES));
   while (!quote.empty () && quote.size () < static_cast<size_t> (end - line)
          && (static_cast<unsigned char> (line[quote.size ()]) & 0xC0) == 0x80)
     quote.pop_back (); // not within a UTF-8 sequence
@@ -174,7 +174,8 @@
 }
 
 void
-report (fb_str_t text, uint32_t line, const std::string &message, fc_problems_t *problems)
+report_syntax_error (fb_str_t text, uint32_t line, const std::string &message,
+                     fc_problems_t *problems)
 {
   fc_add_problem (problems, line, "syntax", quote_line (text, line).c_str (),
                   ("valid TOML (" + message + ")").c_str ());
@@ -188,13 +189,13 @@
   return &document->nodes.back ();
 }
 
-// Returns TEXT parsed without the library, or nothing when it is not plain.
+// Parses TEXT without the library; returns a null pointer when it is not within the subset.
 std::unique_ptr<fc_toml_document>
-parse_plain (fb_str_t text)
+parse_subset (fb_str_t text)
 {
   std::unique_ptr<fc_toml_document> document (new fc_toml_document ());
   document->text = text;
-  if (!fc_parse_plain (text, create_node, document.get ()))
+  if (!fc_parse_toml_subset (text, create_node, document.get ()))
     document.reset ();
   return document;
 }
@@ -206,9 +207,9 @@
 {
   try
     {
-      if (auto plain = parse_plain (text))
-        return plain.release ();
-      return fc_parse_library (text, problems);
+      if (auto document = parse_subset (text))
+        return document.release ();
+      return fc_parse_toml_library (text, problems);
     }
   catch (const std::exception &error)
     {
@@ -218,7 +219,7 @@
 }
 
 extern "C" fc_toml_document_t *
-fc_parse_library (fb_str_t text, fc_problems_t *problems)
+fc_parse_toml_library (fb_str_t text, fc_problems_t *problems)
 {
   try
     {
@@ -233,7 +234,8 @@
     }
   catch (const toml::exception &error)
     {
-      report (text, error.location ().line (), shorten (error.what ()), problems);
+      report_syntax_error (text, error.location ().line (), extract_message (error.what ()),
+                           problems);
     }
   catch (const std::exception &error)
     {
--- a/packages/config/source/toml-scan.c
+++ b/packages/config/source/toml-scan.c
@@ -1,20 +1,20 @@
-/* Checks that keep a document within what the TOML parser handles in bounded time and stack. */
+/* Limits on TOML text, so that the parser runs in bounded time, memory and stack. */
 #include "toml-tree.h"
 #include <glib.h>
 #include <string.h>
 
-/* The parser recurses for each level; the schema needs 3. */
-#define NESTING_MAX 16
+/* The parser recurses at each level; the schema has 3. */
+#define NESTING_LEVELS_MAX 16
 
-/* The parser searches a line once for each value on it. */
+/* The parser scans the line once for each of its values, in quadratic time. */
 #define LINE_MAX_BYTES 16384
 
-/* A value takes about 300 bytes while it is parsed; a document at its limits has 40,000. */
+/* A value needs about 300 bytes during the parse; a document at its limits has 40,000. */
 #define VALUES_MAX 100000
 
 typedef enum
 {
-  OUTSIDE,
+  OUTSIDE, /* of strings and comments */
   COMMENT,
   BASIC,        /* "..." */
   LITERAL,      /* '...' */
@@ -25,12 +25,12 @@
 typedef struct
 {
   fb_str_t text;
-  size_t at;
+  size_t offset;
   scan_state_t state;
   uint32_t line;
-  size_t line_start;
-  size_t depth; /* open brackets and braces */
-  size_t dots;  /* in the current key or number */
+  size_t line_start; /* offset */
+  size_t depth;      /* open brackets and braces */
+  size_t dots;       /* since the last "=", "," or line break */
   size_t values;
   fc_headers_t *headers; /* may be NULL */
 } scan_t;
@@ -38,8 +38,8 @@
 static bool
 is_triple (const scan_t *scan, char quote)
 {
-  return scan->at + 2 < scan->text.len && scan->text.data[scan->at + 1] == quote
-         && scan->text.data[scan->at + 2] == quote;
+  return scan->offset + 2 < scan->text.len && scan->text.data[scan->offset + 1] == quote
+         && scan->text.data[scan->offset + 2] == quote;
 }
 
 static void
@@ -48,7 +48,7 @@
   bool triple = is_triple (scan, c);
 
   if (triple)
-    scan->at += 2;
+    scan->offset += 2;
   if (triple && scan->headers)
     scan->headers->divisible = false;
   if (c == '"')
@@ -57,18 +57,18 @@
     scan->state = triple ? LITERAL_LINES : LITERAL;
 }
 
-/* Collects the bracket at the current place when it starts a table header. */
+/* Records a table header when the bracket at the current offset starts one. */
 static void
-take_header (scan_t *scan)
+record_header (scan_t *scan)
 {
-  fc_header_t header = { (uint32_t)scan->at, scan->line };
+  fc_header_t header = { (uint32_t)scan->offset, scan->line };
 
   if (!scan->headers || scan->depth > 0)
     return;
-  for (size_t i = scan->line_start; i < scan->at; i++)
+  for (size_t i = scan->line_start; i < scan->offset; i++)
     if (scan->text.data[i] != ' ' && scan->text.data[i] != '\t')
       return;
-  if (scan->at == scan->line_start)
+  if (scan->offset == scan->line_start)
     g_array_append_val (scan->headers->items, header);
   else
     scan->headers->divisible = false;
@@ -87,7 +87,7 @@
       scan->state = COMMENT;
       break;
     case '[':
-      take_header (scan);
+      record_header (scan);
       scan->depth++;
       break;
     case '{':
@@ -115,7 +115,7 @@
 }
 
 static void
-scan_inside (scan_t *scan, char c)
+scan_string_or_comment (scan_t *scan, char c)
 {
   char quote = scan->state == LITERAL || scan->state == LITERAL_LINES ? '\'' : '"';
 
@@ -127,9 +127,9 @@
     }
   if (c == '\\' && quote == '"')
     {
-      /* A line break stays for the caller, which counts lines. */
-      if (scan->at + 1 < scan->text.len && scan->text.data[scan->at + 1] != '\n')
-        scan->at++;
+      /* A line break is not skipped, as the caller counts lines. */
+      if (scan->offset + 1 < scan->text.len && scan->text.data[scan->offset + 1] != '\n')
+        scan->offset++;
       return;
     }
   if (scan->state == BASIC || scan->state == LITERAL)
@@ -140,11 +140,12 @@
     }
   if (c == quote && is_triple (scan, quote))
     {
-      scan->at += 2;
-      /* Up to two quotes may stand before the closing three. */
-      for (int i = 0; i < 2 && scan->at + 1 < scan->text.len; i++)
-        if (scan->text.data[scan->at + 1] == quote)
-          scan->at++;
+      scan->offset += 2;
+      /* The string can end with up to two quotes of its own; here they follow the first three.
+       */
+      for (int i = 0; i < 2 && scan->offset + 1 < scan->text.len; i++)
+        if (scan->text.data[scan->offset + 1] == quote)
+          scan->offset++;
       scan->state = OUTSIDE;
     }
 }
@@ -172,12 +173,12 @@
   const char *found;
   const char *allowed;
 
-  if (scan->depth > NESTING_MAX || scan->dots > NESTING_MAX)
+  if (scan->depth > NESTING_LEVELS_MAX || scan->dots > NESTING_LEVELS_MAX)
     {
       found = "more than 16 levels";
       allowed = "at most 16 levels of tables and arrays";
     }
-  else if (scan->at - scan->line_start >= LINE_MAX_BYTES)
+  else if (scan->offset - scan->line_start >= LINE_MAX_BYTES)
     {
       found = "a line of more than 16384 bytes";
       allowed = "lines of at most 16384 bytes";
@@ -208,19 +209,20 @@
     headers->divisible = text.len == 0 || !memchr (text.data, '\r', text.len);
   if (!check_encoding (text, problems))
     return false;
-  for (; scan.at < text.len; scan.at++)
+  for (; scan.offset < text.len; scan.offset++)
     {
-      char c = text.data[scan.at];
+      char c = text.data[scan.offset];
 
       if (scan.state == OUTSIDE)
         scan_outside (&scan, c);
       else
-        scan_inside (&scan, c);
-      /* Not C: a triple quote or an escape has moved on, and a line break ends the line. */
-      if (text.data[scan.at] == '\n')
+        scan_string_or_comment (&scan, c);
+      /* The offset can have advanced over quotes or an escape, so C may not be its character.
+       */
+      if (text.data[scan.offset] == '\n')
         {
           scan.line++;
-          scan.line_start = scan.at + 1;
+          scan.line_start = scan.offset + 1;
           scan.dots = 0;
         }
       else if (!is_within_limits (&scan, problems))
--- a/packages/config/source/toml-tree.h
+++ b/packages/config/source/toml-tree.h
@@ -1,4 +1,4 @@
-/* A parsed TOML document as a C tree; the only interface to the C++ parser. */
+/* A parsed TOML document as a tree of C structures; the interface to the C++ parser. */
 #ifndef FOXTAILRUN_CONFIG_TOML_TREE_H
 #define FOXTAILRUN_CONFIG_TOML_TREE_H
 
@@ -17,7 +17,7 @@
   FC_TOML_TIME /* date, time or both */
 } fc_toml_kind_t;
 
-/* One value; everything is owned by the document. */
+/* One value; all memory is owned by the document. */
 typedef struct fc_toml fc_toml_t;
 
 struct fc_toml
@@ -25,24 +25,24 @@
   fc_toml_kind_t kind;
   uint32_t line;   /* from 1; 0 when unknown */
   fb_str_t key;    /* name in the parent table; empty in an array */
-  fb_str_t source; /* the value as written */
-  fb_str_t text;   /* FC_TOML_STRING */
+  fb_str_t source; /* text of the value */
+  fb_str_t text;   /* FC_TOML_STRING, with escapes decoded */
   int64_t integer; /* FC_TOML_INTEGER, clamped when out of range; FC_TOML_BOOLEAN as 0 or 1 */
   double number;   /* FC_TOML_INTEGER and FC_TOML_FLOAT */
   size_t count;    /* children of a table or an array */
-  const fc_toml_t *child; /* the first */
-  const fc_toml_t *next;  /* the next child of the parent */
+  const fc_toml_t *child; /* first child */
+  const fc_toml_t *next;  /* next child of the parent */
 };
 
 typedef struct fc_toml_document fc_toml_document_t;
 
 /* Parses TEXT, which must outlive the result and have passed fc_scan_toml. Returns NULL with
- * the first syntax error in PROBLEMS; no C++ exception gets out. */
+ * the first syntax error added to PROBLEMS; throws no C++ exception. */
 fc_toml_document_t *fc_parse_toml (fb_str_t text, fc_problems_t *problems);
 
-/* Does the same by the library alone, which fc_parse_toml asks only for text that is not plain.
- */
-fc_toml_document_t *fc_parse_library (fb_str_t text, fc_problems_t *problems);
+/* Does the same with toml11 only, which fc_parse_toml uses for text that fc_parse_toml_subset
+ * does not parse. */
+fc_toml_document_t *fc_parse_toml_library (fb_str_t text, fc_problems_t *problems);
 
 /* Returns the top-level table. */
 const fc_toml_t *fc_get_toml_root (const fc_toml_document_t *document);
@@ -50,11 +50,12 @@
 /* Frees the document; NULL is allowed. */
 void fc_destroy_toml (fc_toml_document_t *document);
 
-/* Adds a problem to PROBLEMS and returns false when TEXT is not UTF-8 or when its nesting or
- * its lines would make the parser exhaust the stack or take quadratic time. */
+/* Adds a problem to PROBLEMS and returns false when TEXT is not UTF-8, or when its nesting,
+ * line length or number of values could make the parser exhaust the stack or memory or take
+ * quadratic time. */
 bool fc_scan_toml (fb_str_t text, fc_problems_t *problems);
 
-/* A line that starts with "[" outside of every value. */
+/* A line that starts with "[" outside of strings, comments and arrays. */
 typedef struct
 {
   uint32_t offset; /* of the line, in bytes */
@@ -64,12 +65,12 @@
 typedef struct
 {
   GArray *items;  /* fc_header_t, created by the caller */
-  bool divisible; /* false with a string of several lines, a carriage return or an indented
-                   * header: the text cannot be divided at the headers */
+  bool divisible; /* false when the text has a multi-line string, a carriage return or an
+                   * indented header and thus cannot be split at the headers */
 } fc_headers_t;
 
-/* Does what fc_scan_toml does and collects the table headers of TEXT, below 4 GB, in HEADERS,
- * NULL for none. */
+/* Does the same as fc_scan_toml and appends the table headers of TEXT, less than 4 GB, to
+ * HEADERS, which may be NULL. */
 bool fc_scan_headers (fb_str_t text, fc_problems_t *problems, fc_headers_t *headers);
 
 #endif
--- a/packages/config/tests/fixture-check.c
+++ b/packages/config/tests/fixture-check.c
@@ -53,7 +53,7 @@
 }
 
 fc_snapshot_t *
-check_good (const char *text)
+check_valid (const char *text)
 {
   char *messages;
   fc_snapshot_t *snapshot = check_text (text, &messages);
@@ -64,7 +64,7 @@
 }
 
 void
-assert_closed (const fc_snapshot_t *snapshot)
+assert_valid_references (const fc_snapshot_t *snapshot)
 {
   for (size_t i = 0; i < fc_count_services (snapshot); i++)
     for (size_t j = 0; j < fc_get_service (snapshot, i)->depends_count; j++)
--- a/packages/config/tests/fixture-check.h
+++ b/packages/config/tests/fixture-check.h
@@ -5,29 +5,29 @@
 #include <foxtailrun/config/settings.h>
 #include <foxtailrun/config/snapshot.h>
 
-/* Three, four and five lines of correct elements. */
+/* Valid elements of three, four and five lines. */
 #define RANK "[[rank]]\nname = \"fast\"\norder = 0\n"
 #define SERVICE "[[service]]\nname = \"shop\"\nslots = 9\nconnections = 120\n"
 #define ROUTE                                                                                  \
   "[[route]]\nname = \"buy\"\npath = \"/buy\"\nservice = \"shop\"\nrank = \"fast\"\n"
 
-/* A correct document with every element. */
+/* A valid document with every kind of element. */
 extern const char fixture_document[];
 
-/* Wraps a NUL-terminated text as bytes. */
+/* Returns TEXT without its NUL as bytes, borrowed. */
 fb_bytes_t wrap_bytes (const char *text);
 
-/* Checks TEXT; on problems returns NULL and stores one line for each in *MESSAGES, which the
- * caller frees with g_free. */
+/* Checks TEXT and stores the problems as lines in *MESSAGES, which the caller frees with
+ * g_free. Returns NULL when there are problems. */
 fc_snapshot_t *check_text (const char *text, char **messages);
 
-/* Checks TEXT, which must be correct. */
-fc_snapshot_t *check_good (const char *text);
+/* Returns the snapshot of TEXT, which must be valid. */
+fc_snapshot_t *check_valid (const char *text);
 
-/* Joins the formatted problems, one a line; free with g_free. */
+/* Returns the formatted problems, one per line; free with g_free. */
 char *join_problems (const fc_problems_t *problems);
 
-/* Aborts unless every reference in SNAPSHOT is to an element that it holds. */
-void assert_closed (const fc_snapshot_t *snapshot);
+/* Asserts that every index in SNAPSHOT is that of an element. */
+void assert_valid_references (const fc_snapshot_t *snapshot);
 
 #endif
--- a/packages/config/tests/test-change.c
+++ b/packages/config/tests/test-change.c
@@ -1,9 +1,9 @@
-/* The check of a document based on a snapshot of another one. */
-#include "check-parts.h"
+/* The check of a changed document based on an earlier snapshot. */
+#include "checker.h"
 #include "fixture-check.h"
 #include <string.h>
 
-#define PAIRS 4000
+#define CHANGES 4000
 
 static const char base_text[]
     = "# head\nversion = 7\n"
@@ -24,8 +24,8 @@
       "[[customer]]\nname = \"kilo\"\nweight = 2.5\n[[customer]]\nname = \"roue\"\n"
       "[[objective]]\nservice = \"shop\"\nrank = \"fast\"\ntarget_ms = 80\nratio = 0.99\n";
 
-/* Pieces put in at the start of a line. */
-static const char *const lines[]
+/* Text inserted at the start of a line. */
+static const char *const insertions[]
     = { "[[route]]\nname = \"new\"\npath = \"/new\"\nservice = \"shop\"\nrank = \"fast\"\n",
         "[[customer]]\nname = \"extra\"\nweight = 1e1\n",
         "[[customer]]\nname = \"kilo\"\n",
@@ -48,7 +48,7 @@
         "rank = [{ name = \"x\" }]\n",
         "\r\n" };
 
-/* Pieces put in, or swapped for a byte, anywhere. */
+/* Text inserted anywhere, or whose first byte replaces one. */
 static const char *const pieces[] = { "[", "]", "\"", "'", "#", "\n", "\r", "\\", ",",
                                       "=", "0", "1",  "9", "a", ".",  " ",  "{" };
 
@@ -76,7 +76,7 @@
   return end ? (size_t)(end + 1 - text->str) : text->len;
 }
 
-/* Returns the end of the table that starts at AT. */
+/* Returns the start of the next table after AT, or the end of TEXT. */
 static size_t
 find_table_end (const GString *text, size_t at)
 {
@@ -104,10 +104,11 @@
   switch (pick (random, 6))
     {
     case 0:
-      g_string_insert (text, (gssize)at, lines[pick (random, G_N_ELEMENTS (lines))]);
+      g_string_insert (text, (gssize)at, insertions[pick (random, G_N_ELEMENTS (insertions))]);
       break;
     case 1:
-      g_string_insert (text, (gssize)table, lines[pick (random, G_N_ELEMENTS (lines))]);
+      g_string_insert (text, (gssize)table,
+                       insertions[pick (random, G_N_ELEMENTS (insertions))]);
       break;
     case 2:
       g_string_erase (text, (gssize)at, (gssize)(find_line_end (text, at) - at));
@@ -131,7 +132,7 @@
     g_string_assign (text, "version = 1\n");
 }
 
-/* Writes all that the public functions say about SNAPSHOT, to be freed with g_free. */
+/* Returns the results of the public functions for SNAPSHOT as text; free with g_free. */
 static char *
 describe_snapshot (const fc_snapshot_t *snapshot)
 {
@@ -194,9 +195,9 @@
   return g_string_free (text, FALSE);
 }
 
-/* Returns whether TEXT is checked by the sections that it shares with BASE. */
+/* Returns whether the check of TEXT reuses sections of BASE. */
 static bool
-takes_sections (const fc_snapshot_t *base, const char *text)
+is_checked_by_sections (const fc_snapshot_t *base, const char *text)
 {
   fc_headers_t headers = { .items = g_array_new (FALSE, FALSE, sizeof (fc_header_t)) };
   fc_problems_t *problems = fc_create_problems ();
@@ -204,8 +205,8 @@
   GArray *sections = NULL;
 
   if (fc_scan_headers (fb_wrap_text (text), problems, &headers))
-    sections = fc_divide_text (fb_wrap_text (text), &headers);
-  snapshot = fc_try_change (base, wrap_bytes (text), sections);
+    sections = fc_split_sections (fb_wrap_text (text), &headers);
+  snapshot = fc_check_changed_sections (base, wrap_bytes (text), sections);
   if (sections)
     g_array_unref (sections);
   fc_release_snapshot (snapshot);
@@ -214,7 +215,8 @@
   return snapshot != NULL;
 }
 
-/* Compares both checks of TEXT; takes over BASE and returns the new snapshot, or NULL. */
+/* Asserts that the check of TEXT based on BASE equals the full check. Releases BASE and returns
+ * the new snapshot, or NULL when TEXT is invalid. */
 static fc_snapshot_t *
 compare_checks (fc_snapshot_t *base, const char *text)
 {
@@ -222,46 +224,46 @@
   fc_snapshot_t *changed = fc_check_change (base, wrap_bytes (text), problems);
   char *found = join_problems (problems);
   char *expected;
-  fc_snapshot_t *whole = check_text (text, &expected);
+  fc_snapshot_t *full = check_text (text, &expected);
 
-  /* The new snapshot must not need the one that it is based on. */
+  /* The new snapshot must not refer to memory of BASE. */
   fc_release_snapshot (base);
   g_assert_cmpstr (found, ==, expected);
-  g_assert_cmpint (changed != NULL, ==, whole != NULL);
+  g_assert_cmpint (changed != NULL, ==, full != NULL);
   g_free (found);
   g_free (expected);
-  if (whole)
+  if (full)
     {
       found = describe_snapshot (changed);
-      expected = describe_snapshot (whole);
+      expected = describe_snapshot (full);
       g_assert_cmpstr (found, ==, expected);
       g_free (found);
       g_free (expected);
     }
-  fc_release_snapshot (whole);
+  fc_release_snapshot (full);
   fc_destroy_problems (problems);
   return changed;
 }
 
-/* Guards against a check based on an earlier snapshot, in chains of changes, that accepts,
- * refuses, reports or yields anything else than the full check. */
+/* Guards against a check based on an earlier snapshot whose result, problems or snapshot differ
+ * from those of the full check, after one or more changes in a row. */
 static void
-test_pairs (void)
+test_random_changes (void)
 {
   GRand *random = g_rand_new_with_seed (23);
   GString *current = g_string_new (base_text);
-  fc_snapshot_t *base = check_good (base_text);
+  fc_snapshot_t *base = check_valid (base_text);
   size_t accepted = 0;
-  size_t shared = 0;
+  size_t by_sections_count = 0;
 
-  for (int i = 0; i < PAIRS; i++)
+  for (int i = 0; i < CHANGES; i++)
     {
       GString *text = g_string_new (current->str);
       fc_snapshot_t *changed;
 
       for (size_t j = 1 + pick (random, 2); j > 0; j--)
         change_text (text, random);
-      shared += takes_sections (base, text->str);
+      by_sections_count += is_checked_by_sections (base, text->str);
       changed = compare_checks (fc_retain_snapshot (base), text->str);
       if (changed && pick (random, 10) > 0)
         {
@@ -272,19 +274,19 @@
       else if (pick (random, 10) == 0)
         {
           fc_release_snapshot (base);
-          base = check_good (base_text);
+          base = check_valid (base_text);
           g_string_assign (current, base_text);
         }
       accepted += changed != NULL;
       fc_release_snapshot (changed);
       g_string_free (text, TRUE);
     }
-  g_test_message ("%zu accepted, %zu by sections", accepted, shared);
-  /* Both outcomes and both ways must occur for the run to mean anything. */
-  g_assert_cmpuint (accepted, >, PAIRS / 10);
-  g_assert_cmpuint (accepted, <, PAIRS * 9 / 10);
-  g_assert_cmpuint (shared, >, PAIRS / 10);
-  g_assert_cmpuint (shared, <=, accepted);
+  g_test_message ("%zu accepted, %zu by sections", accepted, by_sections_count);
+  /* The comparison needs enough valid and invalid texts and enough checks of both kinds. */
+  g_assert_cmpuint (accepted, >, CHANGES / 10);
+  g_assert_cmpuint (accepted, <, CHANGES * 9 / 10);
+  g_assert_cmpuint (by_sections_count, >, CHANGES / 10);
+  g_assert_cmpuint (by_sections_count, <=, accepted);
   fc_release_snapshot (base);
   g_string_free (current, TRUE);
   g_rand_free (random);
@@ -299,10 +301,10 @@
   return g_strdup_printf ("%.*s%s%s", (int)(at - base_text), base_text, to, at + strlen (from));
 }
 
-/* Guards against dividing a text whose sections could mean something else on their own, and
- * against never taking the fast way. */
+/* Guards against reusing sections of a text whose sections have another meaning when parsed
+ * separately, and against a full check of every text. */
 static void
-test_ways (void)
+test_method (void)
 {
   static const struct
   {
@@ -332,18 +334,18 @@
     { "weight = 2.5", "weight = ", false },
     { "weight = 2.5", "weight = [", false },
     { "weight = 2.5", "weight = 0", false },
-    { "service = \"stock\"", "service = \"gone\"", false },
+    { "service = \"stock\"", "service = \"absent\"", false },
     { "name = \"roue\"", "name = \"kilo\"", false },
   };
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      fc_snapshot_t *base = check_good (base_text);
+      fc_snapshot_t *base = check_valid (base_text);
       char *text = replace_text (cases[i].from, cases[i].to);
 
       g_test_message ("%s", cases[i].to);
-      g_assert_cmpint (takes_sections (base, text), ==, cases[i].by_sections);
-      g_assert_false (takes_sections (NULL, text));
+      g_assert_cmpint (is_checked_by_sections (base, text), ==, cases[i].by_sections);
+      g_assert_false (is_checked_by_sections (NULL, text));
       fc_release_snapshot (compare_checks (base, text));
       g_free (text);
     }
@@ -353,7 +355,7 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/config/change/pairs", test_pairs);
-  g_test_add_func ("/config/change/ways", test_ways);
+  g_test_add_func ("/config/change/random-changes", test_random_changes);
+  g_test_add_func ("/config/change/method", test_method);
   return g_test_run ();
 }
--- a/packages/config/tests/test-delta.c
+++ b/packages/config/tests/test-delta.c
@@ -1,13 +1,13 @@
-/* Compressed transfer of documents. */
+/* Compression of documents. */
 #include "fixture-check.h"
 #include <foxtailrun/config/delta.h>
 #include <glib.h>
 #include <string.h>
 #include <zstd.h>
 
-/* Fills SIZE bytes that compress badly. */
+/* Returns SIZE random printable bytes, which hardly compress; free with g_free. */
 static uint8_t *
-make_noise (size_t size, guint32 seed)
+make_incompressible (size_t size, guint32 seed)
 {
   GRand *random = g_rand_new_with_seed (seed);
   uint8_t *data = g_malloc (size);
@@ -19,14 +19,14 @@
 }
 
 static void
-assert_round_trip (fb_bytes_t base, fb_bytes_t document, size_t most)
+assert_round_trip (fb_bytes_t base, fb_bytes_t document, size_t max_frame_length)
 {
   size_t frame_length;
   size_t length;
   uint8_t *restored;
   uint8_t *frame = fc_encode_delta (base, document, &frame_length);
 
-  g_assert_cmpuint (frame_length, <=, most);
+  g_assert_cmpuint (frame_length, <=, max_frame_length);
   g_assert_cmpint (
       fc_decode_delta (base, (fb_bytes_t){ frame, frame_length }, &restored, &length), ==,
       FB_OK);
@@ -35,34 +35,34 @@
   g_free (frame);
 }
 
-/* Guards against documents that do not survive, and against a small change to a document of 1
- * MB that costs more than 1 KB because the window does not reach back to the prefix. */
+/* Guards against documents that are not restored exactly, and against a frame of more than 1 KB
+ * for a small change to a document of 1 MB because the window does not cover the prefix. */
 static void
 test_round_trips (void)
 {
   static const size_t sizes[] = { 0, 1, 1000, FC_DOCUMENT_MAX };
-  uint8_t *noise = make_noise (FC_DOCUMENT_MAX, 1);
-  uint8_t *changed = g_memdup2 (noise, FC_DOCUMENT_MAX);
-  uint8_t *other = make_noise (FC_DOCUMENT_MAX, 2);
+  uint8_t *original = make_incompressible (FC_DOCUMENT_MAX, 1);
+  uint8_t *changed = g_memdup2 (original, FC_DOCUMENT_MAX);
+  uint8_t *other = make_incompressible (FC_DOCUMENT_MAX, 2);
 
   memset (changed + 500000, 'x', 100);
   for (size_t i = 0; i < G_N_ELEMENTS (sizes); i++)
     for (size_t j = 0; j < G_N_ELEMENTS (sizes); j++)
-      assert_round_trip ((fb_bytes_t){ other, sizes[i] }, (fb_bytes_t){ noise, sizes[j] },
+      assert_round_trip ((fb_bytes_t){ other, sizes[i] }, (fb_bytes_t){ original, sizes[j] },
                          sizes[j] + 100);
-  assert_round_trip ((fb_bytes_t){ noise, FC_DOCUMENT_MAX },
+  assert_round_trip ((fb_bytes_t){ original, FC_DOCUMENT_MAX },
                      (fb_bytes_t){ changed, FC_DOCUMENT_MAX }, 1024);
   memmove (changed, changed + 1000, FC_DOCUMENT_MAX - 1000);
-  assert_round_trip ((fb_bytes_t){ noise, FC_DOCUMENT_MAX },
+  assert_round_trip ((fb_bytes_t){ original, FC_DOCUMENT_MAX },
                      (fb_bytes_t){ changed, FC_DOCUMENT_MAX - 1000 }, 1024);
   g_free (other);
   g_free (changed);
-  g_free (noise);
+  g_free (original);
 }
 
-/* Guards against damage that yields a document other than the one encoded. */
+/* Guards against a corrupted frame that is decoded to another document. */
 static void
-test_damage (void)
+test_corruption (void)
 {
   fb_bytes_t document = wrap_bytes (fixture_document);
   fb_bytes_t base = { document.data, document.len / 2 };
@@ -96,7 +96,7 @@
   g_free (frame);
 }
 
-/* Guards against a document that was put together from a base other than the sender's. */
+/* Guards against a document decoded with a base other than the one it was encoded with. */
 static void
 test_wrong_base (void)
 {
@@ -122,7 +122,8 @@
   g_free (other);
 }
 
-/* Guards against a small frame that expands beyond the limit or does not state its size. */
+/* Guards against a small frame whose document exceeds the limit, and against one without a
+ * size. */
 static void
 test_oversized (void)
 {
@@ -160,11 +161,11 @@
     }
 }
 
-/* Guards against input other than exactly one frame being accepted. */
+/* Guards against accepting input other than exactly one frame. */
 static void
-test_no_frame (void)
+test_malformed_frame (void)
 {
-  /* A skippable frame of 0 bytes, which zstd itself passes over behind another frame. */
+  /* A skippable frame of 0 bytes, which zstd ignores after another frame. */
   static const uint8_t skippable[] = { 0x50, 0x2a, 0x4d, 0x18, 0, 0, 0, 0 };
   static const char *const cases[] = { "", "x", "\x28\xb5\x2f\xfd", "version = 1\n" };
   uint8_t *restored;
@@ -190,9 +191,9 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/config/delta/round-trips", test_round_trips);
-  g_test_add_func ("/config/delta/damage", test_damage);
+  g_test_add_func ("/config/delta/corruption", test_corruption);
   g_test_add_func ("/config/delta/wrong-base", test_wrong_base);
   g_test_add_func ("/config/delta/oversized", test_oversized);
-  g_test_add_func ("/config/delta/no-frame", test_no_frame);
+  g_test_add_func ("/config/delta/malformed-frame", test_malformed_frame);
   return g_test_run ();
 }
--- a/packages/config/tests/test-document.c
+++ b/packages/config/tests/test-document.c
@@ -1,10 +1,9 @@
-/* Check of configuration documents: what is refused with which message, and what a snapshot
- * holds. */
+/* Check of configuration documents: problems of invalid ones, snapshots of valid ones. */
 #include "fixture-check.h"
 #include <glib.h>
 #include <string.h>
 
-#define V "version = 1\n"
+#define VERSION "version = 1\n"
 
 #define VERSION_TEXT "an integer from 1 to 9007199254740991"
 #define TOP_KEYS "one of version, idle_ms, rank, service, route, customer, objective"
@@ -20,9 +19,9 @@
   const char *name;
   const char *document;
   const char *messages;
-} bad_case_t;
+} invalid_case_t;
 
-static const bad_case_t bad_cases[] = {
+static const invalid_case_t invalid_cases[] = {
   { "empty", "", "f: version: found nothing, allowed: " VERSION_TEXT "\n" },
   { "version-zero", "version = 0\n", "f:1: version: found 0, allowed: " VERSION_TEXT "\n" },
   { "version-large", "version = 9007199254740992\n",
@@ -33,20 +32,20 @@
     "f:1: version: found \"1\", allowed: " VERSION_TEXT "\n" },
   { "version-table", "[version]\n",
     "f:1: version: found a table, allowed: " VERSION_TEXT "\n" },
-  { "unknown-top", V "colour = 1\n[[route_]]\n",
+  { "unknown-top", VERSION "colour = 1\n[[route_]]\n",
     "f:2: colour: found an unknown key, allowed: one of version, idle_ms, rank, service, route, customer, objective\n"
     "f:3: route_: found an unknown key, allowed: one of version, idle_ms, rank, service, route, customer, objective\n" },
-  { "unknown-key", V RANK "weight = 1\n",
+  { "unknown-key", VERSION RANK "weight = 1\n",
     "f:5: rank[0].weight: found an unknown key, allowed: one of name, order, target_ms, worth, share\n" },
   { "unknown-odd-keys",
-    V "\"\\u001b[2J\" = 1\n"
-      "\"1ééééééééééééééééééééééééééééééééé\" = 1\n\"a\\u0000b\" = 1\n",
+    VERSION "\"\\u001b[2J\" = 1\n"
+            "\"1ééééééééééééééééééééééééééééééééé\" = 1\n\"a\\u0000b\" = 1\n",
     "f:2: ?[2J: found an unknown key, allowed: " TOP_KEYS "\n"
     "f:3: 1ééééééééééééééééééééééééééééé...: found an unknown key, allowed: " TOP_KEYS "\n"
     "f:4: a: found an unknown key, allowed: " TOP_KEYS "\n" },
-  { "unknown-under-section", V "[rank]\n",
+  { "unknown-under-section", VERSION "[rank]\n",
     "f:2: rank: found a table, allowed: [[rank]] tables\n" },
-  { "section-value", V "rank = 3\nservice = [1]\nroute = [{}, 2]\n",
+  { "section-value", VERSION "rank = 3\nservice = [1]\nroute = [{}, 2]\n",
     "f:2: rank: found 3, allowed: [[rank]] tables\n"
     "f:3: service: found an array, allowed: [[service]] tables\n"
     "f:4: route: found an array of tables, allowed: [[route]] tables\n"
@@ -54,7 +53,7 @@
     "f:4: route[0].path: found nothing, allowed: " PATH_TEXT "\n"
     "f:4: route[0].rank: found nothing, allowed: the name of a rank\n"
     "f:4: route[0].service: found nothing, allowed: the name of a service\n" },
-  { "missing", V "[[rank]]\n[[service]]\n[[route]]\n[[customer]]\n[[objective]]\n",
+  { "missing", VERSION "[[rank]]\n[[service]]\n[[route]]\n[[customer]]\n[[objective]]\n",
     "f:2: rank[0].name: found nothing, allowed: " NAME_TEXT "\n"
     "f:2: rank[0].order: found nothing, allowed: an integer from 0 to 99\n"
     "f:3: service[0].connections: found nothing, allowed: an integer from 1 to 100000\n"
@@ -70,7 +69,7 @@
     "f:6: objective[0].service: found nothing, allowed: the name of a service\n"
     "f:6: objective[0].target_ms: found nothing, allowed: an integer from 1 to 3600000\n" },
   { "types",
-    V RANK SERVICE
+    VERSION RANK SERVICE
     "[[route]]\nname = 1\npath = true\nmethods = \"GET\"\nservice = 1.5\nrank = []\n"
     "timeout_ms = \"1\"\nrepeatable = 1\nretries = 1.0\n",
     "f:10: route[0].name: found 1, allowed: " NAME_TEXT "\n"
@@ -82,76 +81,77 @@
     "f:16: route[0].repeatable: found 1, allowed: true or false\n"
     "f:17: route[0].retries: found 1.0, allowed: an integer from 0 to 3\n" },
   { "ranges",
-    V "[[rank]]\nname = \"fast\"\norder = 100\ntarget_ms = 0\nworth = -1\n"
-      "share = 1.5\n",
+    VERSION "[[rank]]\nname = \"fast\"\norder = 100\ntarget_ms = 0\nworth = -1\n"
+            "share = 1.5\n",
     "f:4: rank[0].order: found 100, allowed: an integer from 0 to 99\n"
     "f:5: rank[0].target_ms: found 0, allowed: an integer from 1 to 3600000\n"
     "f:6: rank[0].worth: found -1, allowed: a number from 0 to 1000000\n"
     "f:7: rank[0].share: found 1.5, allowed: a number from 0 to 1\n" },
-  { "not-a-number", V RANK "worth = nan\nshare = inf\n",
+  { "not-a-number", VERSION RANK "worth = nan\nshare = inf\n",
     "f:5: rank[0].worth: found nan, allowed: a number from 0 to 1000000\n"
     "f:6: rank[0].share: found inf, allowed: a number from 0 to 1\n" },
-  { "time", V RANK "target_ms = 2020-01-01\n",
+  { "time", VERSION RANK "target_ms = 2020-01-01\n",
     "f:5: rank[0].target_ms: found 2020-01-01, allowed: an integer from 1 to 3600000\n" },
   { "names",
-    V "[[rank]]\nname = \"\"\norder = 0\n[[rank]]\nname = \"a b\"\norder = 1\n"
-      "[[rank]]\nname = \"123456789012345678901234567890123456789012345678\"\n"
-      "order = 2\n",
+    VERSION "[[rank]]\nname = \"\"\norder = 0\n[[rank]]\nname = \"a b\"\norder = 1\n"
+            "[[rank]]\nname = \"123456789012345678901234567890123456789012345678\"\n"
+            "order = 2\n",
     "f:3: rank[0].name: found \"\", allowed: " NAME_TEXT "\n"
     "f:6: rank[1].name: found \"a b\", allowed: " NAME_TEXT "\n"
     "f:9: rank[2].name: found \"123456789012345678901234567890123456789012345678\", allowed: " NAME_TEXT
     "\n" },
   { "long-value",
-    V "[[rank]]\norder = 0\nname = \"\"\"one\ntwo\"\"\"\n"
-      "[[rank]]\norder = 1\nname = "
-      "\"ééééééééééééééééééééééééééééééééééééééééééééé\"\n",
+    VERSION "[[rank]]\norder = 0\nname = \"\"\"one\ntwo\"\"\"\n"
+            "[[rank]]\norder = 1\nname = "
+            "\"ééééééééééééééééééééééééééééééééééééééééééééé\"\n",
     "f:4: rank[0].name: found \"\"\"one..., allowed: " NAME_TEXT "\n"
     "f:8: rank[1].name: found \"ééééééééééééééééééééééééééééé..., allowed: " NAME_TEXT "\n" },
   { "duplicate-names",
-    V RANK "[[rank]]\nname = \"fast\"\norder = 1\n" SERVICE SERVICE ROUTE
-           "[[route]]\nname = \"buy\"\npath = \"/b\"\nservice = \"shop\"\nrank = \"fast\"\n"
-           "[[customer]]\nname = \"c\"\n[[customer]]\nname = \"c\"\n",
+    VERSION RANK
+    "[[rank]]\nname = \"fast\"\norder = 1\n" SERVICE SERVICE ROUTE
+    "[[route]]\nname = \"buy\"\npath = \"/b\"\nservice = \"shop\"\nrank = \"fast\"\n"
+    "[[customer]]\nname = \"c\"\n[[customer]]\nname = \"c\"\n",
     "f:6: rank[1].name: found \"fast\", as in rank[0], allowed: a different name for each [[rank]]\n"
     "f:13: service[1].name: found \"shop\", as in service[0], allowed: a different name for each [[service]]\n"
     "f:22: route[1].name: found \"buy\", as in route[0], allowed: a different name for each [[route]]\n"
     "f:29: customer[1].name: found \"c\", as in customer[0], allowed: a different name for each [[customer]]\n" },
-  { "duplicate-order", V RANK "[[rank]]\nname = \"x\"\norder = 0\n",
+  { "duplicate-order", VERSION RANK "[[rank]]\nname = \"x\"\norder = 0\n",
     "f:7: rank[1].order: found 0, as in rank[0], allowed: a different order for each [[rank]]\n" },
   { "shares",
-    V RANK "share = 0.6\n[[rank]]\nname = \"x\"\norder = 1\nshare = 0.41\n"
-           "[[rank]]\nname = \"y\"\norder = 2\nshare = 0.5\n",
+    VERSION RANK "share = 0.6\n[[rank]]\nname = \"x\"\norder = 1\nshare = 0.41\n"
+                 "[[rank]]\nname = \"y\"\norder = 2\nshare = 0.5\n",
     "f:9: rank[1].share: found a sum of 1.01 up to this rank, allowed: a sum of at most 1 over all ranks\n" },
   { "dangling",
-    V RANK SERVICE
-    "depends_on = [\"gone\"]\n"
-    "[[route]]\nname = \"r\"\npath = \"/\"\nservice = \"gone\"\nrank = \"gone\"\n"
-    "[[objective]]\nservice = \"gone\"\nrank = \"gone\"\ntarget_ms = 1\nratio = "
+    VERSION RANK SERVICE
+    "depends_on = [\"absent\"]\n"
+    "[[route]]\nname = \"r\"\npath = \"/\"\nservice = \"absent\"\nrank = \"absent\"\n"
+    "[[objective]]\nservice = \"absent\"\nrank = \"absent\"\ntarget_ms = 1\nratio = "
     "1\n",
-    "f:9: service[0].depends_on: found \"gone\", allowed: the name of a service\n"
-    "f:13: route[0].service: found \"gone\", allowed: the name of a service\n"
-    "f:14: route[0].rank: found \"gone\", allowed: the name of a rank\n"
-    "f:16: objective[0].service: found \"gone\", allowed: the name of a service\n"
-    "f:17: objective[0].rank: found \"gone\", allowed: the name of a rank\n" },
+    "f:9: service[0].depends_on: found \"absent\", allowed: the name of a service\n"
+    "f:13: route[0].service: found \"absent\", allowed: the name of a service\n"
+    "f:14: route[0].rank: found \"absent\", allowed: the name of a rank\n"
+    "f:16: objective[0].service: found \"absent\", allowed: the name of a service\n"
+    "f:17: objective[0].rank: found \"absent\", allowed: the name of a rank\n" },
   { "dependency-twice",
-    V SERVICE "depends_on = [\"b\", \"b\"]\n"
-              "[[service]]\nname = \"b\"\nslots = 1\nconnections = 1\n",
+    VERSION SERVICE "depends_on = [\"b\", \"b\"]\n"
+                    "[[service]]\nname = \"b\"\nslots = 1\nconnections = 1\n",
     "f:6: service[0].depends_on: found \"b\", allowed: each service at most once\n" },
-  { "self-cycle", V SERVICE "depends_on = [\"shop\"]\n",
+  { "self-cycle", VERSION SERVICE "depends_on = [\"shop\"]\n",
     "f:6: service[0].depends_on: found the cycle shop -> shop, allowed: dependencies without a cycle\n" },
   { "two-cycles",
-    V SERVICE "depends_on = [\"b\", \"c\"]\n"
-              "[[service]]\nname = \"b\"\nslots = 1\nconnections = 1\n"
-              "depends_on = [\"c\"]\n"
-              "[[service]]\nname = \"c\"\nslots = 1\nconnections = 1\n"
-              "depends_on = [\n\"shop\",\n\"b\"]\n",
+    VERSION SERVICE "depends_on = [\"b\", \"c\"]\n"
+                    "[[service]]\nname = \"b\"\nslots = 1\nconnections = 1\n"
+                    "depends_on = [\"c\"]\n"
+                    "[[service]]\nname = \"c\"\nslots = 1\nconnections = 1\n"
+                    "depends_on = [\n\"shop\",\n\"b\"]\n",
     "f:16: service[2].depends_on: found the cycle b -> c -> b, allowed: dependencies without a cycle\n"
     "f:16: service[2].depends_on: found the cycle shop -> b -> c -> shop, allowed: dependencies without a cycle\n" },
   { "path-relative",
-    V RANK SERVICE
+    VERSION RANK SERVICE
     "[[route]]\nname = \"r\"\npath = \"buy\"\nservice = \"shop\"\nrank = \"fast\"\n",
     "f:11: route[0].path: found \"buy\", allowed: " PATH_TEXT "\n" },
   { "path-form",
-    V RANK SERVICE
+    VERSION RANK SERVICE
     "[[route]]\nname = \"a\"\npath = \"/a/\"\nservice = \"shop\"\nrank = \"fast\"\n"
     "[[route]]\nname = \"b\"\npath = \"/a//b\"\nservice = \"shop\"\nrank = \"fast\"\n"
     "[[route]]\nname = \"c\"\npath = \"/a?b\"\nservice = \"shop\"\nrank = \"fast\"\n"
@@ -160,13 +160,13 @@
     "f:16: route[1].path: found \"/a//b\", allowed: " PATH_TEXT "\n"
     "f:21: route[2].path: found \"/a?b\", allowed: " PATH_TEXT "\n"
     "f:26: route[3].path: found \"/a b\", allowed: " PATH_TEXT "\n" },
-  { "methods", V RANK SERVICE ROUTE "methods = [\"get\", \"GET\", \"GET\"]\n",
+  { "methods", VERSION RANK SERVICE ROUTE "methods = [\"get\", \"GET\", \"GET\"]\n",
     "f:14: route[0].methods: found \"GET\", allowed: " METHODS_TEXT "\n"
     "f:14: route[0].methods: found \"get\", allowed: " METHODS_TEXT "\n" },
-  { "methods-type", V RANK SERVICE ROUTE "methods = [\"GET\", 1]\n",
+  { "methods-type", VERSION RANK SERVICE ROUTE "methods = [\"GET\", 1]\n",
     "f:14: route[0].methods: found 1, allowed: " METHODS_TEXT "\n" },
   { "overlap",
-    V RANK SERVICE ROUTE
+    VERSION RANK SERVICE ROUTE
     "methods = [\"GET\", \"POST\"]\n"
     "[[route]]\nname = \"x\"\npath = \"/buy\"\nmethods = [\"PUT\", \"POST\"]\n"
     "service = \"shop\"\nrank = \"fast\"\n"
@@ -175,15 +175,15 @@
     "f:17: route[1].path: found \"/buy\", which route[0] has for the same methods, allowed: one route for each path and method\n"
     "f:23: route[2].path: found \"/buy\", which route[0] has for the same methods, allowed: one route for each path and method\n" },
   { "objective-twice",
-    V RANK SERVICE
+    VERSION RANK SERVICE
     "[[objective]]\nservice = \"shop\"\nrank = \"fast\"\ntarget_ms = 1\nratio = 0.5\n"
     "[[objective]]\nservice = \"shop\"\nrank = \"fast\"\ntarget_ms = 2\nratio = 0.5\n",
     "f:15: objective[1].service: found the service and rank of objective[0], allowed: one [[objective]] for each service and rank\n" },
-  { "syntax", V "[[rank]]\nname \"fast\"\n",
+  { "syntax", VERSION "[[rank]]\nname \"fast\"\n",
     "f:3: syntax: found 'name \"fast\"', allowed: valid TOML (missing key-value separator `=`)\n" },
   { "syntax-open-string", "version = \"1\nx = 1\n",
     "f:1: syntax: found 'version = \"1', allowed: valid TOML (the next token is not a valid string)\n" },
-  { "syntax-duplicate-key", V V,
+  { "syntax-duplicate-key", VERSION VERSION,
     "f:2: syntax: found 'version = 1', allowed: valid TOML (value (\"version\") already exists)\n" },
   { "syntax-end", "version =",
     "f:1: syntax: found 'version =', allowed: valid TOML (missing value after key-value separator '=')\n" },
@@ -192,33 +192,32 @@
     "key-value separator `=`)\n" },
   { "syntax-header", "[[rank]\n",
     "f:1: syntax: found '[[rank]', allowed: valid TOML (an invalid key appeared)\n" },
-  { "not-utf8", V "# \xff\n",
+  { "not-utf8", VERSION "# \xff\n",
     "f:2: syntax: found byte 0xff, allowed: UTF-8 text without NUL bytes\n" },
-  { "extend-empty-array", V "rank = []\n[rank.x]\n",
+  { "extend-empty-array", VERSION "rank = []\n[rank.x]\n",
     "f: syntax: found an empty array cannot be extended by a table, allowed: valid TOML\n" },
-  { "extend-empty-array-element", V "rank = []\n[[rank]]\n",
+  { "extend-empty-array-element", VERSION "rank = []\n[[rank]]\n",
     "f:3: syntax: found '[[rank]]', allowed: valid TOML (array of table (\"rank\") collides with existing value)\n" },
 };
 
-/* Guards against a bad document being accepted, and against a message that leaves out the line,
- * the key, what was found or what is allowed. */
+/* Guards against accepting an invalid document, and against a problem without line, key, found
+ * value or allowed values. */
 static void
-test_bad (gconstpointer data)
+test_invalid (gconstpointer data)
 {
-  const bad_case_t *bad = data;
+  const invalid_case_t *test_case = data;
   char *messages;
 
-  g_assert_null (check_text (bad->document, &messages));
-  g_assert_cmpstr (messages, ==, bad->messages);
+  g_assert_null (check_text (test_case->document, &messages));
+  g_assert_cmpstr (messages, ==, test_case->messages);
   g_free (messages);
 }
 
-/* Guards against defaults, units or the order of ranks being lost between document and
- * snapshot. */
+/* Guards against wrong values, defaults or order of ranks in a snapshot. */
 static void
-test_good (void)
+test_valid (void)
 {
-  fc_snapshot_t *snapshot = check_good (fixture_document);
+  fc_snapshot_t *snapshot = check_valid (fixture_document);
   const fc_rank_t *rank = fc_get_rank (snapshot, 0);
   const fc_route_t *route = fc_get_route (snapshot, 0);
   uint32_t index;
@@ -252,19 +251,19 @@
   g_assert_cmpfloat (fc_get_customer_weight (snapshot, FB_LITERAL ("other")), ==, 1);
   g_assert_cmpfloat (fc_get_objective (snapshot, 0)->ratio, ==, 0.99);
   g_assert_null (fc_get_rank (snapshot, 2));
-  assert_closed (snapshot);
+  assert_valid_references (snapshot);
   g_assert_true (fc_retain_snapshot (snapshot) == snapshot);
   fc_release_snapshot (snapshot);
   g_assert_cmpuint (fc_get_version_number (snapshot), ==, 7);
   fc_release_snapshot (snapshot);
 }
 
-/* Guards against a snapshot that borrows the bytes it was checked from. */
+/* Guards against a snapshot that refers to the memory of the document passed in. */
 static void
 test_copy (void)
 {
   char *text = g_strdup (fixture_document);
-  fc_snapshot_t *snapshot = check_good (text);
+  fc_snapshot_t *snapshot = check_valid (text);
 
   memset (text, 'x', strlen (text));
   g_free (text);
@@ -276,9 +275,9 @@
 }
 
 static char *
-repeat (const char *before, const char *format, unsigned count)
+repeat (const char *prefix, const char *format, unsigned count)
 {
-  GString *text = g_string_new (before);
+  GString *text = g_string_new (prefix);
 
   for (unsigned i = 0; i < count; i++)
     {
@@ -294,52 +293,53 @@
   return g_string_free (text, FALSE);
 }
 
-/* Guards against documents over the limits, which would exhaust time, memory or stack, and
- * against documents at the limits being refused. */
+/* Guards against accepting documents over the limits, which would exhaust time, memory or
+ * stack, and against rejecting documents at the limits. */
 static void
 test_limits (void)
 {
   static const struct
   {
-    const char *before;
+    const char *prefix;
     const char *item;
     unsigned count;
     const char *messages;
   } cases[] = {
-    { V, "[[rank]]\nname = \"r%\"\norder = %\n", 16, "" },
-    { V, "[[rank]]\nname = \"r%\"\norder = %\n", 17,
+    { VERSION, "[[rank]]\nname = \"r%\"\norder = %\n", 16, "" },
+    { VERSION, "[[rank]]\nname = \"r%\"\norder = %\n", 17,
       "f:2: rank: found 17 tables, allowed: at most 16\n" },
-    /* The sum of these shares is above 1 in floating point. */
-    { V RANK "share = 0.01\n[[rank]]\nname = \"a\"\norder = 2\nshare = 0.33\n"
-             "[[rank]]\nname = \"b\"\norder = 3\nshare = 0.56\n",
+    /* The floating-point sum of these shares exceeds 1. */
+    { VERSION RANK "share = 0.01\n[[rank]]\nname = \"a\"\norder = 2\nshare = 0.33\n"
+                   "[[rank]]\nname = \"b\"\norder = 3\nshare = 0.56\n",
       "[[rank]]\nname = \"c\"\norder = 4\nshare = 0.1\n", 1, "" },
-    { V, "[[service]]\nname = \"s%\"\nslots = 1\nconnections = 1\n", 1000, "" },
-    { V, "[[service]]\nname = \"s%\"\nslots = 1\nconnections = 1\n", 1001,
+    { VERSION, "[[service]]\nname = \"s%\"\nslots = 1\nconnections = 1\n", 1000, "" },
+    { VERSION, "[[service]]\nname = \"s%\"\nslots = 1\nconnections = 1\n", 1001,
       "f:2: service: found 1001 tables, allowed: at most 1000\n" },
-    { V RANK SERVICE, "[[route]]\nname=\"r%\"\npath=\"/%\"\nservice=\"shop\"\nrank=\"fast\"\n",
-      8000, "" },
-    { V RANK SERVICE, "[[route]]\nname=\"r%\"\npath=\"/%\"\nservice=\"shop\"\nrank=\"fast\"\n",
-      8001, "f:9: route: found 8001 tables, allowed: at most 8000\n" },
-    { V, "[[customer]]\nname=\"c%\"\n", 4001,
+    { VERSION RANK SERVICE,
+      "[[route]]\nname=\"r%\"\npath=\"/%\"\nservice=\"shop\"\nrank=\"fast\"\n", 8000, "" },
+    { VERSION RANK SERVICE,
+      "[[route]]\nname=\"r%\"\npath=\"/%\"\nservice=\"shop\"\nrank=\"fast\"\n", 8001,
+      "f:9: route: found 8001 tables, allowed: at most 8000\n" },
+    { VERSION, "[[customer]]\nname=\"c%\"\n", 4001,
       "f:2: customer: found 4001 tables, allowed: at most 4000\n" },
-    { V "x = ", "[", 100000,
+    { VERSION "x = ", "[", 100000,
       "f:2: syntax: found more than 16 levels, allowed: at most 16 levels of tables and arrays\n" },
-    { V "x = ", "{a=", 100000,
+    { VERSION "x = ", "{a=", 100000,
       "f:2: syntax: found more than 16 levels, allowed: at most 16 levels of tables and arrays\n" },
-    { V "x", ".x", 100000,
+    { VERSION "x", ".x", 100000,
       "f:2: syntax: found more than 16 levels, allowed: at most 16 levels of tables and arrays\n" },
-    { V "x = [", "1,", 10000,
+    { VERSION "x = [", "1,", 10000,
       "f:2: syntax: found a line of more than 16384 bytes, allowed: lines of at most 16384 bytes\n" },
-    { V "x = [", "1,\n", 100001,
+    { VERSION "x = [", "1,\n", 100001,
       "f:100000: syntax: found more than 100000 values, allowed: at most 100000 values\n" },
-    { V, "# 3456789\n", 104857,
+    { VERSION, "# 3456789\n", 104857,
       "f: file: found 1048582 bytes, allowed: at most 1048576 bytes\n" },
-    { V, "# 3456789\n", 104856, "" },
+    { VERSION, "# 3456789\n", 104856, "" },
   };
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      char *document = repeat (cases[i].before, cases[i].item, cases[i].count);
+      char *document = repeat (cases[i].prefix, cases[i].item, cases[i].count);
       char *messages;
       fc_snapshot_t *snapshot = check_text (document, &messages);
 
@@ -350,7 +350,7 @@
     }
 }
 
-/* Guards against memory that grows with the number of problems, and problems out of order. */
+/* Guards against an unbounded number of problems, and against problems not sorted by line. */
 static void
 test_many_problems (void)
 {
@@ -368,20 +368,20 @@
   g_free (document);
 }
 
-/* Guards against recursion over a chain of services as long as the limit allows. */
+/* Guards against recursion along a chain of dependencies of 1,000 services. */
 static void
 test_long_cycle (void)
 {
   char *document = repeat (
-      V, "[[service]]\nname = \"s%\"\nslots = 1\nconnections = 1\ndepends_on = [\"s%+\"]\n",
-      1000);
+      VERSION,
+      "[[service]]\nname = \"s%\"\nslots = 1\nconnections = 1\ndepends_on = [\"s%+\"]\n", 1000);
   char **parts = g_strsplit (document, "+", -1);
   GString *text = g_string_new ("");
   char *messages;
 
   for (size_t i = 0; parts[i]; i++)
     {
-      /* "s7" in the list becomes "s8", and the last one closes the cycle. */
+      /* Each service depends on the next one; the last one closes the cycle. */
       char *quote = parts[i + 1] ? strrchr (parts[i], '"') : NULL;
 
       if (quote)
@@ -405,14 +405,14 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  for (size_t i = 0; i < G_N_ELEMENTS (bad_cases); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (invalid_cases); i++)
     {
-      char *path = g_strdup_printf ("/config/document/bad/%s", bad_cases[i].name);
+      char *path = g_strdup_printf ("/config/document/invalid/%s", invalid_cases[i].name);
 
-      g_test_add_data_func (path, &bad_cases[i], test_bad);
+      g_test_add_data_func (path, &invalid_cases[i], test_invalid);
       g_free (path);
     }
-  g_test_add_func ("/config/document/good", test_good);
+  g_test_add_func ("/config/document/valid", test_valid);
   g_test_add_func ("/config/document/copy", test_copy);
   g_test_add_func ("/config/document/limits", test_limits);
   g_test_add_func ("/config/document/many-problems", test_many_problems);
--- a/packages/config/tests/test-random.c
+++ b/packages/config/tests/test-random.c
@@ -1,10 +1,10 @@
-/* Random changes to correct documents. */
+/* Random changes to valid documents, settings and deltas. */
 #include "fixture-check.h"
 #include <foxtailrun/config/delta.h>
 #include <glib.h>
 #include <string.h>
 
-/* Pieces that mean something to the parser. */
+/* Text with a meaning in TOML, inserted anywhere. */
 static const char *const pieces[]
     = { "[",    "]",  "[[",          "]]", "{",  "}",      "\"",   "'",       "\"\"\"",
         "'''",  "=",  ".",           ",",  "#",  "\n",     "\r\n", "\\",      "\\u00e9",
@@ -16,7 +16,7 @@
   return (size_t)g_rand_int_range (random, 0, (gint32)bound);
 }
 
-/* Changes TEXT in one place: a byte, a piece inserted, a range removed, or a range repeated. */
+/* Changes a byte of TEXT, inserts one of PIECES, or removes or repeats a range. */
 static void
 change_text (GString *text, GRand *random)
 {
@@ -45,13 +45,13 @@
   g_free (range);
 }
 
-/* Guards against input that crashes the checker, is refused without a reason, or yields a
- * snapshot with a reference to nothing. */
+/* Guards against a document that crashes the checker, is rejected without a problem, or gives a
+ * snapshot with an invalid index. */
 static void
 test_documents (void)
 {
   GRand *random = g_rand_new_with_seed (20);
-  int good = 0;
+  int accepted = 0;
 
   for (int i = 0; i < 2500; i++)
     {
@@ -60,7 +60,7 @@
       char *messages;
       fc_snapshot_t *snapshot;
 
-      /* Changes within a comment leave the document correct. */
+      /* Changes within a comment keep the document valid. */
       g_string_append (text, "#####################################################\n"
                              "#####################################################\n");
       for (size_t j = 0; j < changes; j++)
@@ -69,16 +69,16 @@
       g_assert_true (g_utf8_validate (messages, -1, NULL));
       if (snapshot)
         {
-          good++;
-          assert_closed (snapshot);
+          accepted++;
+          assert_valid_references (snapshot);
         }
       fc_release_snapshot (snapshot);
       g_free (messages);
       g_string_free (text, TRUE);
     }
-  /* Both outcomes must occur for the run to mean anything. */
-  g_assert_cmpint (good, >, 50);
-  g_assert_cmpint (good, <, 2000);
+  /* The test needs enough valid and enough invalid documents. */
+  g_assert_cmpint (accepted, >, 50);
+  g_assert_cmpint (accepted, <, 2000);
   g_rand_free (random);
 }
 
@@ -110,7 +110,7 @@
   g_rand_free (random);
 }
 
-/* Guards against a delta between any two versions that restores something else. */
+/* Guards against a delta between two versions that is decoded to another document. */
 static void
 test_deltas (void)
 {
--- a/packages/config/tests/test-route.c
+++ b/packages/config/tests/test-route.c
@@ -3,17 +3,17 @@
 #include <glib.h>
 #include <string.h>
 
-#define REST "service = \"shop\"\nrank = \"fast\"\n"
+#define ROUTE_TARGET "service = \"shop\"\nrank = \"fast\"\n"
 
-static const char table[]
+static const char lookup_document[]
     = "version = 1\n" RANK SERVICE "[[route]]\nname = \"root\"\npath = \"/\"\nmethods = "
-      "[\"GET\"]\n" REST "[[route]]\nname = \"a\"\npath = \"/a\"\n" REST
-      "[[route]]\nname = \"a-b-get\"\npath = \"/a/b\"\nmethods = [\"GET\", \"HEAD\"]\n" REST
-      "[[route]]\nname = \"a-b-post\"\npath = \"/a/b\"\nmethods = [\"POST\"]\n" REST
-      "[[route]]\nname = \"deep\"\npath = \"/x/y/z\"\n" REST;
+      "[\"GET\"]\n" ROUTE_TARGET "[[route]]\nname = \"a\"\npath = \"/a\"\n" ROUTE_TARGET
+      "[[route]]\nname = \"a-b-get\"\npath = \"/a/b\"\nmethods = [\"GET\", \"HEAD\"]\n" ROUTE_TARGET
+      "[[route]]\nname = \"a-b-post\"\npath = \"/a/b\"\nmethods = [\"POST\"]\n" ROUTE_TARGET
+      "[[route]]\nname = \"deep\"\npath = \"/x/y/z\"\n" ROUTE_TARGET;
 
-/* Guards against a prefix that matches part of a segment, a shorter prefix that hides a longer
- * one, a method that is ignored, and a query that takes part in the match. */
+/* Guards against a prefix that matches part of a segment, a shorter prefix with precedence over
+ * a longer one, a method that is ignored, and a query that is matched. */
 static void
 test_lookup (void)
 {
@@ -49,7 +49,7 @@
     { "GET", "?", NULL },
     { "GET", "*", NULL },
   };
-  fc_snapshot_t *snapshot = check_good (table);
+  fc_snapshot_t *snapshot = check_valid (lookup_document);
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
@@ -62,17 +62,18 @@
   fc_release_snapshot (snapshot);
 }
 
-/* Guards against a route of another host, a prefix that ends in "/" matching without it, and a
- * route of every host that is hidden by a host with other paths. */
+/* Guards against matching a route of another host, a route with "below" matching the prefix
+ * alone, and a route without a host not matching when the host has only routes of other
+ * paths. */
 static void
 test_lookup_host (void)
 {
   static const char document[]
-      = "version = 1\n" RANK SERVICE "[[route]]\nname = \"any\"\npath = \"/any\"\n" REST
-        "[[route]]\nname = \"one\"\nhost = \"one.example\"\npath = \"/a\"\nbelow = true\n" REST
-        "[[route]]\nname = \"deep\"\nhost = \"one.example\"\npath = \"/a/b\"\nbelow = true\n" REST
-        "[[route]]\nname = \"two\"\nhost = \"two.example\"\npath = \"/a\"\n" REST
-        "[[route]]\nname = \"two-below\"\nhost = \"two.example\"\npath = \"/a\"\nbelow = true\n" REST;
+      = "version = 1\n" RANK SERVICE "[[route]]\nname = \"any\"\npath = \"/any\"\n" ROUTE_TARGET
+        "[[route]]\nname = \"one\"\nhost = \"one.example\"\npath = \"/a\"\nbelow = true\n" ROUTE_TARGET
+        "[[route]]\nname = \"deep\"\nhost = \"one.example\"\npath = \"/a/b\"\nbelow = true\n" ROUTE_TARGET
+        "[[route]]\nname = \"two\"\nhost = \"two.example\"\npath = \"/a\"\n" ROUTE_TARGET
+        "[[route]]\nname = \"two-below\"\nhost = \"two.example\"\npath = \"/a\"\nbelow = true\n" ROUTE_TARGET;
   static const struct
   {
     const char *host;
@@ -86,7 +87,7 @@
     { "two.example", "/a", "two" },    { "two.example", "/a/", "two-below" },
     { "other", "/a/x", NULL },         { "", "/any", "any" },
   };
-  fc_snapshot_t *snapshot = check_good (document);
+  fc_snapshot_t *snapshot = check_valid (document);
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
@@ -99,11 +100,11 @@
   fc_release_snapshot (snapshot);
 }
 
-/* Guards against a match by a segment outside the string that was passed. */
+/* Guards against reading beyond the end of the path or the method. */
 static void
 test_lookup_length (void)
 {
-  fc_snapshot_t *snapshot = check_good (table);
+  fc_snapshot_t *snapshot = check_valid (lookup_document);
   const fc_route_t *route = fc_find_route (snapshot, FB_LITERAL (""), FB_LITERAL ("POST"),
                                            (fb_str_t){ "/x/y/z", 5 });
 
@@ -123,7 +124,7 @@
          && (path.len == prefix.len || path.data[prefix.len] == '/');
 }
 
-/* The specification, one route after the other. */
+/* Reference implementation: compares PATH with each route. */
 static const fc_route_t *
 search_routes (const fc_snapshot_t *snapshot, const char *method, fb_str_t path)
 {
@@ -144,10 +145,10 @@
 }
 
 static char *
-make_path (GRand *random, int most)
+make_path (GRand *random, int max_segments)
 {
   GString *path = g_string_new ("");
-  int segments = g_rand_int_range (random, 1, most + 1);
+  int segments = g_rand_int_range (random, 1, max_segments + 1);
 
   for (int i = 0; i < segments; i++)
     g_string_append_printf (path, "/%.*s", g_rand_int_range (random, 1, 3),
@@ -155,7 +156,7 @@
   return g_string_free (path, FALSE);
 }
 
-/* Guards against an index that disagrees with the specification for some set of 500 routes. */
+/* Guards against an index whose result differs from the reference implementation's. */
 static void
 test_random_tables (void)
 {
@@ -173,11 +174,12 @@
 
       if (!g_hash_table_add (paths, path))
         continue;
-      g_string_append_printf (text, "[[route]]\nname=\"r%d\"\npath=\"%s\"\n" REST, i, path);
+      g_string_append_printf (text, "[[route]]\nname=\"r%d\"\npath=\"%s\"\n" ROUTE_TARGET, i,
+                              path);
       if (i % 2)
         g_string_append_printf (text, "methods = [\"%s\"]\n", method);
     }
-  snapshot = check_good (text->str);
+  snapshot = check_valid (text->str);
   for (int i = 0; i < 5000; i++)
     {
       char *path = make_path (random, 7);
@@ -190,7 +192,7 @@
           == expected);
       g_free (path);
     }
-  /* Both outcomes must occur for the comparison to mean anything. */
+  /* The comparison needs enough paths with and without a route. */
   g_assert_cmpint (found, >, 1000);
   g_assert_cmpint (found, <, 4999);
   fc_release_snapshot (snapshot);
--- a/packages/config/tests/test-settings.c
+++ b/packages/config/tests/test-settings.c
@@ -1,4 +1,4 @@
-/* Check of a node's settings, and reading of files. */
+/* Check of a node's settings, and reading a file. */
 #include "fixture-check.h"
 #include <glib.h>
 #include <glib/gstdio.h>
@@ -17,9 +17,9 @@
   const char *name;
   const char *document;
   const char *messages;
-} bad_case_t;
+} invalid_case_t;
 
-static const bad_case_t bad_cases[] = {
+static const invalid_case_t invalid_cases[] = {
   { "empty", "",
     "f: listen.address: found nothing, allowed: " ADDRESS_TEXT "\n"
     "f: node.id: found nothing, allowed: " NAME_TEXT "\n"
@@ -91,20 +91,20 @@
     "f:5: syntax: found '[', allowed: valid TOML (an invalid key appeared)\n" },
 };
 
-/* Guards against bad settings being accepted, and against a message that leaves out the line,
- * the key, what was found or what is allowed. */
+/* Guards against accepting invalid settings, and against a problem without line, key, found
+ * value or allowed values. */
 static void
-test_bad (gconstpointer data)
+test_invalid (gconstpointer data)
 {
-  const bad_case_t *bad = data;
+  const invalid_case_t *test_case = data;
   fc_problems_t *problems = fc_create_problems ();
   fc_settings_t settings;
   char *messages;
 
-  g_assert_cmpint (fc_check_settings (wrap_bytes (bad->document), &settings, problems), ==,
-                   FB_INVALID);
+  g_assert_cmpint (fc_check_settings (wrap_bytes (test_case->document), &settings, problems),
+                   ==, FB_INVALID);
   messages = join_problems (problems);
-  g_assert_cmpstr (messages, ==, bad->messages);
+  g_assert_cmpstr (messages, ==, test_case->messages);
   g_free (messages);
   fc_destroy_problems (problems);
 }
@@ -146,7 +146,7 @@
   g_assert_cmpint (settings.log_format, ==, FB_LOG_LOGFMT);
 }
 
-/* Guards against a key that ends up in the wrong setting. */
+/* Guards against a key that is stored in the wrong setting. */
 static void
 test_all_keys (void)
 {
@@ -178,7 +178,7 @@
   g_assert_cmpint (settings.log_format, ==, FB_LOG_JSON);
 }
 
-/* Guards against more seeds than the settings hold. */
+/* Guards against more seeds than FC_SEEDS_MAX, and against rejecting that many. */
 static void
 test_seed_count (void)
 {
@@ -197,7 +197,7 @@
     }
 }
 
-/* Guards against a file over the limit being cut, and against errors without a reason. */
+/* Guards against truncating a file over the limit, and against errors without a problem. */
 static void
 test_read_file (void)
 {
@@ -247,11 +247,11 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  for (size_t i = 0; i < G_N_ELEMENTS (bad_cases); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (invalid_cases); i++)
     {
-      char *path = g_strdup_printf ("/config/settings/bad/%s", bad_cases[i].name);
+      char *path = g_strdup_printf ("/config/settings/invalid/%s", invalid_cases[i].name);
 
-      g_test_add_data_func (path, &bad_cases[i], test_bad);
+      g_test_add_data_func (path, &invalid_cases[i], test_invalid);
       g_free (path);
     }
   g_test_add_func ("/config/settings/defaults", test_defaults);
--- a/packages/config/tests/test-plain.c
+++ b/packages/config/tests/test-subset.c
@@ -1,5 +1,5 @@
-/* The plain parser against the library. */
-#include "toml-plain.h"
+/* The parser of the TOML subset, compared with the library. */
+#include "toml-subset.h"
 #include <glib.h>
 #include <string.h>
 
@@ -12,14 +12,14 @@
   return node;
 }
 
-/* Appends all that NODE says to TEXT. What tables and their lists look like as written is left
- * out: the library gives a part of the header. */
+/* Appends the contents of NODE and its children to TEXT. The source of tables and their lists
+ * is omitted: the library's is only a part of the header. */
 static void
-describe (GString *text, const fc_toml_t *node)
+describe_node (GString *text, const fc_toml_t *node)
 {
-  bool of_tables
+  bool has_tables
       = node->kind == FC_TOML_TABLE || (node->child && node->child->kind == FC_TOML_TABLE);
-  fb_str_t source = of_tables ? (fb_str_t){ "", 0 } : node->source;
+  fb_str_t source = has_tables ? (fb_str_t){ "", 0 } : node->source;
 
   g_string_append_printf (text, "%d %u ", node->kind, node->line);
   g_string_append_len (text, node->key.data, (gssize)node->key.len);
@@ -30,19 +30,19 @@
   g_string_append_printf (text, "|%" G_GINT64_FORMAT "|%g|%zu(", node->integer, node->number,
                           node->count);
   for (const fc_toml_t *child = node->child; child; child = child->next)
-    describe (text, child);
+    describe_node (text, child);
   g_string_append_c (text, ')');
 }
 
-/* Guards against text that the two parsers read differently, and against odd or wrong text that
- * the plain one takes. */
+/* Guards against text for which the two parsers return different trees, and against accepting
+ * text that is invalid or outside of the subset. */
 static void
-test_same (void)
+test_same_tree (void)
 {
   static const struct
   {
     const char *text;
-    bool plain;
+    bool in_subset;
   } cases[] = {
     { "version=1\n", true },
     { "version = 1\n\n[[rank]]\nname=\"a\"\norder=0\n\n[[route]]\nbelow=true\nparts=[\"a=1\",\"b=2\"]\n",
@@ -86,21 +86,21 @@
       GPtrArray *nodes = g_ptr_array_new_with_free_func (g_free);
       fc_problems_t *problems = fc_create_problems ();
       fc_toml_document_t *document;
-      GString *plain = g_string_new ("");
+      GString *subset = g_string_new ("");
       GString *library = g_string_new ("");
 
       g_test_message ("%s", cases[i].text);
-      g_assert_cmpint (fc_parse_plain (text, create_node, nodes), ==, cases[i].plain);
-      if (cases[i].plain)
+      g_assert_cmpint (fc_parse_toml_subset (text, create_node, nodes), ==, cases[i].in_subset);
+      if (cases[i].in_subset)
         {
-          document = fc_parse_library (text, problems);
+          document = fc_parse_toml_library (text, problems);
           g_assert_nonnull (document);
-          describe (library, fc_get_toml_root (document));
-          describe (plain, nodes->pdata[0]);
-          g_assert_cmpstr (plain->str, ==, library->str);
+          describe_node (library, fc_get_toml_root (document));
+          describe_node (subset, nodes->pdata[0]);
+          g_assert_cmpstr (subset->str, ==, library->str);
           fc_destroy_toml (document);
         }
-      g_string_free (plain, TRUE);
+      g_string_free (subset, TRUE);
       g_string_free (library, TRUE);
       fc_destroy_problems (problems);
       g_ptr_array_unref (nodes);
@@ -111,6 +111,6 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/config/plain/same", test_same);
+  g_test_add_func ("/config/subset/same-tree", test_same_tree);
   return g_test_run ();
 }
