--- a/packages/config/source/check-document.c
+++ b/packages/config/source/check-document.c
@@ -86,7 +86,7 @@
   if (!node || node->count <= max)
     return;
   found = g_strdup_printf ("%zu tables", node->count);
-  allowed = g_strdup_printf ("at most %zu", max);
+  allowed = g_strdup_printf ("at most %zu tables", max);
   fc_add_problem (checker->problems, node->line, section, found, allowed);
   g_free (allowed);
   g_free (found);
--- a/packages/config/source/check-row.c
+++ b/packages/config/source/check-row.c
@@ -296,5 +296,5 @@
     }
   for (size_t i = 0; i < row->count; i++)
     if (!present[i] && !row->values[i].field->default_text)
-      fc_add_key_problem (problems, row, row->values[i].field->key, "nothing", NULL);
+      fc_add_key_problem (problems, row, row->values[i].field->key, "no value", NULL);
 }
--- a/packages/config/source/schema.c
+++ b/packages/config/source/schema.c
@@ -5,11 +5,11 @@
 #include <foxtailrun/config/snapshot.h>
 #include <glib.h>
 
-#define NAME_TEXT "1 to 47 letters, digits, '.', '_' or '-'"
+#define NAME_TEXT "a name of 1 to 47 letters, digits, '.', '_' or '-'"
 #define ADDRESS_TEXT "a numeric IP address"
-#define HOST_TEXT "at most 255 bytes of a host name, with a port if callers send one"
+#define HOST_TEXT "a host name of at most 255 bytes, with a port if callers send one"
 #define PATH_TEXT                                                                              \
-  "\"/\" or at most 255 bytes in up to 32 segments, each with a \"/\" before it, without "     \
+  "\"/\" or a path of at most 255 bytes and 32 segments, each preceded by \"/\", without "     \
   "spaces, '?' or '#'"
 #define METHODS_TEXT "GET, HEAD, POST, PUT, PATCH, DELETE or OPTIONS, each at most once"
 #define PORT_MAX 65535
@@ -19,9 +19,9 @@
 
 static const fc_field_t document_fields[] = {
   { "", "version", FC_TYPE_INTEGER, "", NULL, 1, VERSION_MAX, NULL,
-    "number of the publication, increased with each one" },
+    "version number of the document, increased with each publication" },
   { "", "idle_ms", FC_TYPE_INTEGER, "ms", "10000", 100, 3600000, NULL,
-    "time in which a request must arrive, and for which a caller's connection may stay idle" },
+    "time for which a caller's connection may stay idle, and within which a request must arrive" },
 
   { "rank", "name", FC_TYPE_NAME, "", NULL, 0, 0, NAME_TEXT, "name of the rank" },
   { "rank", "order", FC_TYPE_INTEGER, "", NULL, 0, 99, NULL, "urgency; 0 is the most urgent" },
@@ -29,55 +29,55 @@
   { "rank", "worth", FC_TYPE_NUMBER, "", "1", 0, 1000000, NULL,
     "relative worth of one call answered within its target" },
   { "rank", "share", FC_TYPE_NUMBER, "fraction of slot time", "0", 0, 1, NULL,
-    "guaranteed part of slot time; at most 1 over all ranks" },
+    "guaranteed fraction of slot time; the sum over all ranks is at most 1" },
 
   { "service", "name", FC_TYPE_NAME, "", NULL, 0, 0, NAME_TEXT, "name of the service" },
   { "service", "slots", FC_TYPE_INTEGER, "calls", NULL, 1, 10000, NULL,
-    "calls that an instance runs at once" },
+    "maximum number of concurrent calls of an instance" },
   { "service", "connections", FC_TYPE_INTEGER, "connections", NULL, 1, 100000, NULL,
-    "connections that an instance accepts" },
+    "maximum number of concurrent connections of an instance" },
   { "service", "depends_on", FC_TYPE_REFERENCES, "", "[]", 0, 0, "names of other services",
     "services that this one calls" },
 
   { "route", "name", FC_TYPE_NAME, "", NULL, 0, 0, NAME_TEXT, "name of the route" },
   { "route", "host", FC_TYPE_HOST, "", "", 0, 0, HOST_TEXT,
-    "host that callers ask for; every host when left out" },
+    "host of the request; every host when left out" },
   { "route", "path", FC_TYPE_PATH, "", NULL, 0, 0, PATH_TEXT,
-    "prefix of the request path, matched by whole segments" },
+    "prefix of the request path, matched by complete segments" },
   { "route", "below", FC_TYPE_BOOLEAN, "", "false", 0, 0, "true or false",
-    "whether only paths that go on with a \"/\" after the prefix match" },
+    "whether only paths match that continue with a \"/\" after the prefix" },
   { "route", "methods", FC_TYPE_METHODS, "", "[]", 0, 0, METHODS_TEXT,
     "methods of the route; none listed means every method" },
   { "route", "service", FC_TYPE_REFERENCE, "", NULL, 0, 0, "the name of a service",
     "service that runs the calls" },
   { "route", "parts", FC_TYPE_WEIGHTED_SERVICES, "", "[]", 0, 0,
-    "different \"NAME=WEIGHT\" with the name of a service and a weight from 1 to 1000000",
-    "services that share the calls by weight in place of the one service" },
+    "\"NAME=WEIGHT\", each with a different service and a weight from 1 to 1000000",
+    "services among which the calls are split by weight; takes precedence over service" },
   { "route", "rank", FC_TYPE_REFERENCE, "", NULL, 0, 0, "the name of a rank",
     "rank of the calls" },
   { "route", "timeout_ms", FC_TYPE_INTEGER, "ms", "1000", 1, 600000, NULL,
-    "longest time for a call with all its attempts" },
+    "timeout of a call, including all its attempts" },
   { "route", "target_ms", FC_TYPE_INTEGER, "ms", "0", 0, 3600000, NULL,
-    "latency target; 0 stands for that of the rank" },
+    "latency target; 0 for that of the rank" },
   { "route", "repeatable", FC_TYPE_BOOLEAN, "", "false", 0, 0, "true or false",
     "whether a call may run more than once" },
   { "route", "ticket", FC_TYPE_BOOLEAN, "", "true", 0, 0, "true or false",
-    "whether a call that may not be repeated requires a ticket; without one the entry node sends "
-    "each request at most once" },
+    "whether a call that is not repeatable requires a ticket; if false, the entry node sends each "
+    "request at most once" },
   { "route", "retries", FC_TYPE_INTEGER, "attempts", "1", 0, 3, NULL,
-    "most further attempts after the first" },
+    "maximum number of attempts after the first" },
 
   { "customer", "name", FC_TYPE_NAME, "", NULL, 0, 0, NAME_TEXT, "name of the customer" },
   { "customer", "weight", FC_TYPE_NUMBER, "", "1", 0.01, 1000, NULL,
-    "part within a rank, relative to customers that are not listed" },
+    "weight within a rank, relative to 1 for customers that are not listed" },
 
   { "objective", "service", FC_TYPE_REFERENCE, "", NULL, 0, 0, "the name of a service",
-    "service that the objective is about" },
+    "service that the objective applies to" },
   { "objective", "rank", FC_TYPE_REFERENCE, "", NULL, 0, 0, "the name of a rank",
-    "rank that the objective is about" },
+    "rank that the objective applies to" },
   { "objective", "target_ms", FC_TYPE_INTEGER, "ms", NULL, 1, 3600000, NULL, "latency target" },
   { "objective", "ratio", FC_TYPE_NUMBER, "fraction of calls", NULL, 0, 1, NULL,
-    "part of the calls answered within the target" },
+    "fraction of calls to be answered within the target" },
 };
 
 static const fc_field_t settings_fields[] = {
@@ -85,24 +85,25 @@
   { "node", "zone", FC_TYPE_NAME, "", NULL, 0, 0, NAME_TEXT, "availability zone" },
   { "node", "region", FC_TYPE_NAME, "", NULL, 0, 0, NAME_TEXT, "region of the zone" },
   { "node", "service", FC_TYPE_NAME, "", "", 0, 0, NAME_TEXT,
-    "service of the backend server beside the node; none when left out" },
+    "service of the node's backend server; none when left out" },
 
   { "listen", "address", FC_TYPE_ADDRESS, "", NULL, 0, 0,
     ADDRESS_TEXT " that other nodes reach, not 0.0.0.0 or ::", "address of the node" },
   { "listen", "caller_port", FC_TYPE_INTEGER, "", "7400", 1, PORT_MAX, NULL,
-    "TCP port for HTTP calls of callers" },
+    "TCP port for HTTP requests from callers" },
   { "listen", "call_port", FC_TYPE_INTEGER, "", "7401", 1, PORT_MAX, NULL,
-    "TCP port for calls of other nodes" },
+    "TCP port for calls from other nodes" },
   { "listen", "control_port", FC_TYPE_INTEGER, "", "7402", 1, PORT_MAX, NULL,
     "UDP and TCP port for membership and distribution" },
   { "listen", "admin_port", FC_TYPE_INTEGER, "", "7403", 1, PORT_MAX, NULL,
     "TCP port for HTTP administration" },
 
   { "listen", "ready_port", FC_TYPE_INTEGER, "", "0", 0, PORT_MAX, NULL,
-    "TCP port that answers every HTTP request by 200 or 503 as the node is ready; none with 0" },
+    "TCP port that answers every HTTP request with 200 when the node is ready, otherwise with 503; "
+    "0 for none" },
 
   { "drain", "limit_ms", FC_TYPE_INTEGER, "ms", "120000", 1000, 3600000, NULL,
-    "bound on a graceful shutdown, after which open calls are cut" },
+    "time limit of a graceful shutdown; calls still open after it are cut" },
 
   { "backend", "address", FC_TYPE_ADDRESS, "", "127.0.0.1", 0, 0, ADDRESS_TEXT,
     "address of the backend server" },
@@ -116,16 +117,16 @@
 
   { "seeds", "nodes", FC_TYPE_SOCKET_ADDRESSES, "", "[]", 0, 0,
     "at most 32 different \"IP:PORT\" or \"[IPv6]:PORT\"",
-    "control addresses of nodes to join by" },
+    "control addresses of nodes through which to join" },
 
   { "admin", "key", FC_TYPE_ADMIN_KEY, "", "", 0, 0,
-    "8 to 47 printable ASCII characters without spaces",
-    "key for calls that change something; they are refused without one" },
+    "a key of 8 to 47 printable ASCII characters without spaces",
+    "key for admin requests that change state; they are refused when it is left out" },
 
   { "log", "level", FC_TYPE_CHOICE, "", "info", 0, 0, "debug, info, warning, error",
-    "least level of the lines written" },
+    "lowest level that is logged" },
   { "log", "format", FC_TYPE_CHOICE, "", "logfmt", 0, 0, "logfmt, json",
-    "format of the lines" },
+    "format of the log lines" },
 };
 
 const fc_schema_t *
--- a/packages/config/source/settings.c
+++ b/packages/config/source/settings.c
@@ -64,7 +64,8 @@
           {
             char *found = g_strdup_printf ("%u, as in listen.%s", ports[i], keys[j]);
 
-            fc_add_key_problem (problems, &row, keys[i], found, "a port of its own");
+            fc_add_key_problem (problems, &row, keys[i], found,
+                                "a different port for each listener");
             g_free (found);
             break;
           }
@@ -89,11 +90,11 @@
   store_name (&settings->backend.address, &row, "address");
   settings->backend.port = get_port (&row, "port");
   if (settings->service.len > 0 && !fc_find_child (table, "port"))
-    fc_add_key_problem (problems, &row, "port", "nothing", NULL);
+    fc_add_key_problem (problems, &row, "port", "no value", NULL);
   if (settings->service.len == 0 && table
       && !fc_find_child (fc_find_child (root, "node"), "service"))
     fc_add_problem (problems, table->line, "backend", "a table",
-                    "no [backend] without node.service");
+                    "[backend] only with node.service");
 }
 
 static void
@@ -106,7 +107,7 @@
   store_name (&settings->platform.address, &row, "address");
   settings->platform.port = get_port (&row, "port");
   if (table && table->kind == FC_TOML_TABLE && !fc_find_child (table, "port"))
-    fc_add_key_problem (problems, &row, "port", "nothing", NULL);
+    fc_add_key_problem (problems, &row, "port", "no value", NULL);
 }
 
 bool
--- a/packages/config/source/toml-containers.h
+++ b/packages/config/source/toml-containers.h
@@ -43,7 +43,7 @@
   back ()
   {
     if (this->empty ())
-      throw std::out_of_range ("an empty array cannot be extended by a table");
+      throw std::out_of_range ("an empty array that a table header extends");
     return base::back ();
   }
   const T &
@@ -55,7 +55,7 @@
   back () const
   {
     if (this->empty ())
-      throw std::out_of_range ("an empty array cannot be extended by a table");
+      throw std::out_of_range ("an empty array that a table header extends");
     return base::back ();
   }
 
--- a/packages/config/tests/test-document.c
+++ b/packages/config/tests/test-document.c
@@ -7,9 +7,9 @@
 
 #define VERSION_TEXT "an integer from 1 to 9007199254740991"
 #define TOP_KEYS "one of version, idle_ms, rank, service, route, customer, objective"
-#define NAME_TEXT "1 to 47 letters, digits, '.', '_' or '-'"
+#define NAME_TEXT "a name of 1 to 47 letters, digits, '.', '_' or '-'"
 #define PATH_TEXT                                                                              \
-  "\"/\" or at most 255 bytes in up to 32 segments, each with a \"/\" before it, without "     \
+  "\"/\" or a path of at most 255 bytes and 32 segments, each preceded by \"/\", without "     \
   "spaces, '?' or '#'"
 #define METHODS_TEXT                                                                           \
   "an array of GET, HEAD, POST, PUT, PATCH, DELETE or OPTIONS, each at most once"
@@ -22,7 +22,7 @@
 } invalid_case_t;
 
 static const invalid_case_t invalid_cases[] = {
-  { "empty", "", "f: version: found nothing, allowed: " VERSION_TEXT "\n" },
+  { "empty", "", "f: version: found no value, allowed: " VERSION_TEXT "\n" },
   { "version-zero", "version = 0\n", "f:1: version: found 0, allowed: " VERSION_TEXT "\n" },
   { "version-large", "version = 9007199254740992\n",
     "f:1: version: found 9007199254740992, allowed: " VERSION_TEXT "\n" },
@@ -49,25 +49,25 @@
     "f:2: rank: found 3, allowed: [[rank]] tables\n"
     "f:3: service: found an array, allowed: [[service]] tables\n"
     "f:4: route: found an array of tables, allowed: [[route]] tables\n"
-    "f:4: route[0].name: found nothing, allowed: " NAME_TEXT "\n"
-    "f:4: route[0].path: found nothing, allowed: " PATH_TEXT "\n"
-    "f:4: route[0].rank: found nothing, allowed: the name of a rank\n"
-    "f:4: route[0].service: found nothing, allowed: the name of a service\n" },
+    "f:4: route[0].name: found no value, allowed: " NAME_TEXT "\n"
+    "f:4: route[0].path: found no value, allowed: " PATH_TEXT "\n"
+    "f:4: route[0].rank: found no value, allowed: the name of a rank\n"
+    "f:4: route[0].service: found no value, allowed: the name of a service\n" },
   { "missing", VERSION "[[rank]]\n[[service]]\n[[route]]\n[[customer]]\n[[objective]]\n",
-    "f:2: rank[0].name: found nothing, allowed: " NAME_TEXT "\n"
-    "f:2: rank[0].order: found nothing, allowed: an integer from 0 to 99\n"
-    "f:3: service[0].connections: found nothing, allowed: an integer from 1 to 100000\n"
-    "f:3: service[0].name: found nothing, allowed: " NAME_TEXT "\n"
-    "f:3: service[0].slots: found nothing, allowed: an integer from 1 to 10000\n"
-    "f:4: route[0].name: found nothing, allowed: " NAME_TEXT "\n"
-    "f:4: route[0].path: found nothing, allowed: " PATH_TEXT "\n"
-    "f:4: route[0].rank: found nothing, allowed: the name of a rank\n"
-    "f:4: route[0].service: found nothing, allowed: the name of a service\n"
-    "f:5: customer[0].name: found nothing, allowed: " NAME_TEXT "\n"
-    "f:6: objective[0].rank: found nothing, allowed: the name of a rank\n"
-    "f:6: objective[0].ratio: found nothing, allowed: a number from 0 to 1\n"
-    "f:6: objective[0].service: found nothing, allowed: the name of a service\n"
-    "f:6: objective[0].target_ms: found nothing, allowed: an integer from 1 to 3600000\n" },
+    "f:2: rank[0].name: found no value, allowed: " NAME_TEXT "\n"
+    "f:2: rank[0].order: found no value, allowed: an integer from 0 to 99\n"
+    "f:3: service[0].connections: found no value, allowed: an integer from 1 to 100000\n"
+    "f:3: service[0].name: found no value, allowed: " NAME_TEXT "\n"
+    "f:3: service[0].slots: found no value, allowed: an integer from 1 to 10000\n"
+    "f:4: route[0].name: found no value, allowed: " NAME_TEXT "\n"
+    "f:4: route[0].path: found no value, allowed: " PATH_TEXT "\n"
+    "f:4: route[0].rank: found no value, allowed: the name of a rank\n"
+    "f:4: route[0].service: found no value, allowed: the name of a service\n"
+    "f:5: customer[0].name: found no value, allowed: " NAME_TEXT "\n"
+    "f:6: objective[0].rank: found no value, allowed: the name of a rank\n"
+    "f:6: objective[0].ratio: found no value, allowed: a number from 0 to 1\n"
+    "f:6: objective[0].service: found no value, allowed: the name of a service\n"
+    "f:6: objective[0].target_ms: found no value, allowed: an integer from 1 to 3600000\n" },
   { "types",
     VERSION RANK SERVICE
     "[[route]]\nname = 1\npath = true\nmethods = \"GET\"\nservice = 1.5\nrank = []\n"
@@ -195,7 +195,7 @@
   { "not-utf8", VERSION "# \xff\n",
     "f:2: syntax: found byte 0xff, allowed: UTF-8 text without NUL bytes\n" },
   { "extend-empty-array", VERSION "rank = []\n[rank.x]\n",
-    "f: syntax: found an empty array cannot be extended by a table, allowed: valid TOML\n" },
+    "f: syntax: found an empty array that a table header extends, allowed: valid TOML\n" },
   { "extend-empty-array-element", VERSION "rank = []\n[[rank]]\n",
     "f:3: syntax: found '[[rank]]', allowed: valid TOML (array of table (\"rank\") collides with existing value)\n" },
 };
@@ -307,21 +307,21 @@
   } cases[] = {
     { VERSION, "[[rank]]\nname = \"r%\"\norder = %\n", 16, "" },
     { VERSION, "[[rank]]\nname = \"r%\"\norder = %\n", 17,
-      "f:2: rank: found 17 tables, allowed: at most 16\n" },
+      "f:2: rank: found 17 tables, allowed: at most 16 tables\n" },
     /* The floating-point sum of these shares exceeds 1. */
     { VERSION RANK "share = 0.01\n[[rank]]\nname = \"a\"\norder = 2\nshare = 0.33\n"
                    "[[rank]]\nname = \"b\"\norder = 3\nshare = 0.56\n",
       "[[rank]]\nname = \"c\"\norder = 4\nshare = 0.1\n", 1, "" },
     { VERSION, "[[service]]\nname = \"s%\"\nslots = 1\nconnections = 1\n", 1000, "" },
     { VERSION, "[[service]]\nname = \"s%\"\nslots = 1\nconnections = 1\n", 1001,
-      "f:2: service: found 1001 tables, allowed: at most 1000\n" },
+      "f:2: service: found 1001 tables, allowed: at most 1000 tables\n" },
     { VERSION RANK SERVICE,
       "[[route]]\nname=\"r%\"\npath=\"/%\"\nservice=\"shop\"\nrank=\"fast\"\n", 8000, "" },
     { VERSION RANK SERVICE,
       "[[route]]\nname=\"r%\"\npath=\"/%\"\nservice=\"shop\"\nrank=\"fast\"\n", 8001,
-      "f:9: route: found 8001 tables, allowed: at most 8000\n" },
+      "f:9: route: found 8001 tables, allowed: at most 8000 tables\n" },
     { VERSION, "[[customer]]\nname=\"c%\"\n", 4001,
-      "f:2: customer: found 4001 tables, allowed: at most 4000\n" },
+      "f:2: customer: found 4001 tables, allowed: at most 4000 tables\n" },
     { VERSION "x = ", "[", 100000,
       "f:2: syntax: found more than 16 levels, allowed: at most 16 levels of tables and arrays\n" },
     { VERSION "x = ", "{a=", 100000,
--- a/packages/config/tests/test-settings.c
+++ b/packages/config/tests/test-settings.c
@@ -7,7 +7,7 @@
 #define NODE "[node]\nid = \"n1\"\nzone = \"z1\"\nregion = \"r1\"\n"
 #define LISTEN "[listen]\naddress = \"10.0.0.1\"\n"
 
-#define NAME_TEXT "1 to 47 letters, digits, '.', '_' or '-'"
+#define NAME_TEXT "a name of 1 to 47 letters, digits, '.', '_' or '-'"
 #define ADDRESS_TEXT "a numeric IP address that other nodes reach, not 0.0.0.0 or ::"
 #define PORT_TEXT "an integer from 1 to 65535"
 #define SEEDS_TEXT "an array of at most 32 different \"IP:PORT\" or \"[IPv6]:PORT\""
@@ -21,19 +21,19 @@
 
 static const invalid_case_t invalid_cases[] = {
   { "empty", "",
-    "f: listen.address: found nothing, allowed: " ADDRESS_TEXT "\n"
-    "f: node.id: found nothing, allowed: " NAME_TEXT "\n"
-    "f: node.region: found nothing, allowed: " NAME_TEXT "\n"
-    "f: node.zone: found nothing, allowed: " NAME_TEXT "\n" },
+    "f: listen.address: found no value, allowed: " ADDRESS_TEXT "\n"
+    "f: node.id: found no value, allowed: " NAME_TEXT "\n"
+    "f: node.region: found no value, allowed: " NAME_TEXT "\n"
+    "f: node.zone: found no value, allowed: " NAME_TEXT "\n" },
   { "unknown", NODE "name = \"x\"\n" LISTEN "[other]\n",
     "f:5: node.name: found an unknown key, allowed: one of id, zone, region, service\n"
     "f:8: other: found an unknown key, allowed: one of node, listen, drain, backend, platform, seeds, admin, log\n" },
   { "section-kind", NODE LISTEN "[[log]]\n",
     "f:7: log: found an array of tables, allowed: one [log] table\n" },
   { "section-value", "node = 1\n" LISTEN,
-    "f: node.id: found nothing, allowed: " NAME_TEXT "\n"
-    "f: node.region: found nothing, allowed: " NAME_TEXT "\n"
-    "f: node.zone: found nothing, allowed: " NAME_TEXT "\n"
+    "f: node.id: found no value, allowed: " NAME_TEXT "\n"
+    "f: node.region: found no value, allowed: " NAME_TEXT "\n"
+    "f: node.zone: found no value, allowed: " NAME_TEXT "\n"
     "f:1: node: found 1, allowed: one [node] table\n" },
   { "types",
     "[node]\nid = 1\nzone = true\nregion = []\nservice = \"a b\"\n"
@@ -55,17 +55,17 @@
     "f:8: listen.call_port: found 65536, allowed: " PORT_TEXT "\n"
     "f:9: listen.admin_port: found -1, allowed: " PORT_TEXT "\n" },
   { "same-port", NODE LISTEN "caller_port = 7402\nadmin_port = 7402\n",
-    "f:5: listen.control_port: found 7402, as in listen.caller_port, allowed: a port of its own\n"
-    "f:8: listen.admin_port: found 7402, as in listen.caller_port, allowed: a port of its own\n" },
+    "f:5: listen.control_port: found 7402, as in listen.caller_port, allowed: a different port for each listener\n"
+    "f:8: listen.admin_port: found 7402, as in listen.caller_port, allowed: a different port for each listener\n" },
   { "backend-missing", NODE "service = \"shop\"\n" LISTEN,
-    "f: backend.port: found nothing, allowed: " PORT_TEXT "\n" },
+    "f: backend.port: found no value, allowed: " PORT_TEXT "\n" },
   { "backend-port", NODE "service = \"shop\"\n" LISTEN "[backend]\naddress = \"10.0.0.300\"\n",
-    "f:8: backend.port: found nothing, allowed: " PORT_TEXT "\n"
+    "f:8: backend.port: found no value, allowed: " PORT_TEXT "\n"
     "f:9: backend.address: found \"10.0.0.300\", allowed: a numeric IP address\n" },
   { "backend-without-service", NODE LISTEN "[backend]\nport = 80\n",
-    "f:7: backend: found a table, allowed: no [backend] without node.service\n" },
+    "f:7: backend: found a table, allowed: [backend] only with node.service\n" },
   { "platform-port", NODE LISTEN "[platform]\n",
-    "f:7: platform.port: found nothing, allowed: " PORT_TEXT "\n" },
+    "f:7: platform.port: found no value, allowed: " PORT_TEXT "\n" },
   { "seeds",
     NODE LISTEN
     "[seeds]\nnodes = [\"10.0.0.2\", \"10.0.0.2:0\", \"10.0.0.2:65536\", \"host:1\", "
@@ -81,9 +81,9 @@
   { "seeds-again", NODE LISTEN "[seeds]\nnodes = [\"10.0.0.2:1\",\n\"10.0.0.2:1\"]\n",
     "f:9: seeds.nodes: found \"10.0.0.2:1\", allowed: " SEEDS_TEXT "\n" },
   { "admin", NODE LISTEN "[admin]\nkey = \"short\"\n",
-    "f:8: admin.key: found \"short\", allowed: 8 to 47 printable ASCII characters without spaces\n" },
+    "f:8: admin.key: found \"short\", allowed: a key of 8 to 47 printable ASCII characters without spaces\n" },
   { "admin-space", NODE LISTEN "[admin]\nkey = \"long enough\"\n",
-    "f:8: admin.key: found \"long enough\", allowed: 8 to 47 printable ASCII characters without spaces\n" },
+    "f:8: admin.key: found \"long enough\", allowed: a key of 8 to 47 printable ASCII characters without spaces\n" },
   { "log", NODE LISTEN "[log]\nlevel = \"loud\"\nformat = \"xml\"\n",
     "f:8: log.level: found \"loud\", allowed: one of debug, info, warning, error\n"
     "f:9: log.format: found \"xml\", allowed: one of logfmt, json\n" },
--- a/packages/foxtailrun/tests/test-commands.c
+++ b/packages/foxtailrun/tests/test-commands.c
@@ -150,8 +150,8 @@
     "" },
   { "check --settings settings.toml", 0, "settings.toml: good settings of node n1 in zone z1\n",
     "" },
-  { "check --settings good.toml", 2, "good.toml: listen.address: found nothing*", "" },
-  { "check settings.toml", 2, "settings.toml: version: found nothing*", "" },
+  { "check --settings good.toml", 2, "good.toml: listen.address: found no value*", "" },
+  { "check settings.toml", 2, "settings.toml: version: found no value*", "" },
   { "check --json bad.toml", 2,
     "{\n  \"file\": \"bad.toml\",\n  \"good\": false,\n  \"problems\": [\n    {\n"
     "      \"line\": 2,\n      \"key\": \"colour\",\n      \"found\": \"an unknown key\",\n"
@@ -167,10 +167,10 @@
   { "diff --json none.toml good.toml", 2, "", "none.toml: file: found No such file*" },
   { "diff --json good.toml good.toml", 0, "[]\n", "" },
   { "schema", 0,
-    "top level\n  version       number of the publication, increased with each one\n"
+    "top level\n  version       version number of the document, increased with each publication\n"
     "                integer, required: an integer from 1 to 9007199254740991\n"
-    "  idle_ms       time in which a request must arrive, and for which a caller's connection may "
-    "stay idle\n"
+    "  idle_ms       time for which a caller's connection may stay idle, and within which a "
+    "request must arrive\n"
     "                integer in ms, default 10000: an integer from 100 to 3600000\n\n[[rank]]\n*",
     "" },
   { "trace a1 node.log", 0,
