--- a/packages/config/source/check-service.c
+++ b/packages/config/source/check-service.c
@@ -20,7 +20,7 @@
 {
   fc_snapshot_t *snapshot = checker->snapshot;
   uint32_t *indexes = g_new0 (uint32_t, list->count);
-  GHashTable *seen = g_hash_table_new (NULL, NULL);
+  GHashTable *resolved = g_hash_table_new (NULL, NULL);
   size_t count = 0;
 
   g_ptr_array_add (snapshot->arrays, indexes);
@@ -32,12 +32,12 @@
         continue; /* reported by fc_check_row */
       if (!fc_find_name (snapshot->service_names, node->text, &index))
         report_dependency (checker, service, node, "the name of a service");
-      else if (!g_hash_table_add (seen, GSIZE_TO_POINTER (index)))
+      else if (!g_hash_table_add (resolved, GSIZE_TO_POINTER (index)))
         report_dependency (checker, service, node, "each service at most once");
       else
         indexes[count++] = (uint32_t)index;
     }
-  g_hash_table_unref (seen);
+  g_hash_table_unref (resolved);
   snapshot->services[service].depends_on = indexes;
   snapshot->services[service].depends_count = count;
 }
--- a/packages/config/source/route-index.c
+++ b/packages/config/source/route-index.c
@@ -164,7 +164,8 @@
 /* Returns the route at node NUMBER that matches, or NONE. When the path continues, a route with
  * BELOW has precedence, as its prefix is longer by the "/". */
 static uint32_t
-match_node (const fc_route_index_t *index, uint32_t number, fc_methods_t bit, bool continues)
+match_node (const fc_route_index_t *index, uint32_t number, fc_methods_t method_bit,
+            bool continues)
 {
   uint32_t best = NONE;
 
@@ -172,7 +173,7 @@
     {
       const entry_t *entry = &ENTRY (index, i);
 
-      if (!(entry->methods & bit) && entry->methods != FC_METHODS_ALL)
+      if (!(entry->methods & method_bit) && entry->methods != FC_METHODS_ALL)
         continue;
       if (entry->below && continues)
         return entry->route;
@@ -190,11 +191,11 @@
 
 /* Returns the route of node HOST with the longest prefix of PATH, or NONE. */
 static uint32_t
-find_longest_prefix (const fc_route_index_t *index, uint32_t host, fc_methods_t bit,
+find_longest_prefix (const fc_route_index_t *index, uint32_t host, fc_methods_t method_bit,
                      fb_str_t path)
 {
   uint32_t number = host;
-  uint32_t best = match_node (index, host, bit, true);
+  uint32_t best = match_node (index, host, method_bit, true);
   fb_str_t segment;
   size_t offset = 0;
 
@@ -205,7 +206,7 @@
       number = find_child (index, number, segment);
       if (number == NONE)
         break;
-      match = match_node (index, number, bit, offset < path.len);
+      match = match_node (index, number, method_bit, offset < path.len);
       if (match != NONE)
         best = match;
     }
@@ -217,16 +218,16 @@
                        fb_str_t path, uint32_t *route)
 {
   const char *query = path.len ? memchr (path.data, '?', path.len) : NULL;
-  fc_methods_t bit = fc_get_method_bit (method);
+  fc_methods_t method_bit = fc_get_method_bit (method);
   uint32_t number = find_child (index, ROOT, host);
 
   if (query)
     path.len = (size_t)(query - path.data);
   if (path.len == 0 || path.data[0] != '/')
     return false;
-  *route = number == NONE ? NONE : find_longest_prefix (index, number, bit, path);
+  *route = number == NONE ? NONE : find_longest_prefix (index, number, method_bit, path);
   if (*route == NONE && host.len > 0
       && (number = find_child (index, ROOT, FB_LITERAL (""))) != NONE)
-    *route = find_longest_prefix (index, number, bit, path);
+    *route = find_longest_prefix (index, number, method_bit, path);
   return *route != NONE;
 }
--- a/packages/config/source/toml-scan.c
+++ b/packages/config/source/toml-scan.c
@@ -141,8 +141,7 @@
   if (c == quote && is_triple (scan, quote))
     {
       scan->offset += 2;
-      /* The string can end with up to two quotes of its own; here they follow the first three.
-       */
+      /* The string itself can end with one or two quotes, which are skipped here. */
       for (int i = 0; i < 2 && scan->offset + 1 < scan->text.len; i++)
         if (scan->text.data[scan->offset + 1] == quote)
           scan->offset++;
@@ -217,8 +216,7 @@
         scan_outside (&scan, c);
       else
         scan_string_or_comment (&scan, c);
-      /* The offset can have advanced over quotes or an escape, so C may not be its character.
-       */
+      /* Not C: the offset can have advanced over quotes or an escape. */
       if (text.data[scan.offset] == '\n')
         {
           scan.line++;
--- a/packages/config/tests/test-document.c
+++ b/packages/config/tests/test-document.c
@@ -37,7 +37,7 @@
     "f:3: route_: found an unknown key, allowed: one of version, idle_ms, rank, service, route, customer, objective\n" },
   { "unknown-key", VERSION RANK "weight = 1\n",
     "f:5: rank[0].weight: found an unknown key, allowed: one of name, order, target_ms, worth, share\n" },
-  { "unknown-odd-keys",
+  { "unknown-unprintable-keys",
     VERSION "\"\\u001b[2J\" = 1\n"
             "\"1ééééééééééééééééééééééééééééééééé\" = 1\n\"a\\u0000b\" = 1\n",
     "f:2: ?[2J: found an unknown key, allowed: " TOP_KEYS "\n"
