--- a/packages/wire/include/foxtailrun/wire/call.h
+++ b/packages/wire/include/foxtailrun/wire/call.h
@@ -10,7 +10,7 @@
 #define FW_REQUEST_BODY_MAX (1024 * 1024)
 #define FW_ANSWER_BODY_MAX (8 * 1024 * 1024)
 
-/* Most headers in a request or an answer. */
+/* Largest number of headers in a request or an answer. */
 #define FW_HEADERS_MAX 64
 
 typedef enum
@@ -19,13 +19,13 @@
   FW_ANSWER = 2
 } fw_call_kind_t;
 
-/* What happened to an attempt. */
+/* Outcome of an attempt. */
 typedef enum
 {
-  FW_ANSWERED = 1, /* the backend server's whole answer */
-  FW_NOT_RUN = 2,  /* refused; provably never reached the backend server */
-  FW_UNKNOWN = 3,  /* may have run; no whole answer */
-  FW_FAILED = 4    /* reached the backend server, which failed or cut the answer short */
+  FW_ANSWERED = 1, /* the backend server's complete answer */
+  FW_NOT_RUN = 2,  /* refused; provably not run by the backend server */
+  FW_UNKNOWN = 3,  /* may have run; no complete answer */
+  FW_FAILED = 4    /* reached the backend server, which failed or truncated the answer */
 } fw_outcome_t;
 
 typedef struct
@@ -34,54 +34,55 @@
   fb_str_t value;
 } fw_header_t;
 
-/* One message; strings and body borrow from the encoded bytes after decoding. */
+/* One message; strings and body are borrowed from the encoded bytes after decoding. */
 typedef struct
 {
   fw_call_kind_t kind;
-  uint64_t id; /* of the attempt, unique to the entry node's incarnation */
+  uint64_t id; /* of the attempt, unique within the entry node's incarnation */
   /* CALL */
   uint64_t remaining_us; /* time left until the caller's deadline */
   fb_str_t service;
   fb_str_t rank;
   fb_str_t customer;
   fb_str_t method;
-  fb_str_t host; /* that the caller asked for */
+  fb_str_t host; /* of the caller's request */
   fb_str_t path;
-  bool at_most_once;            /* may run at most once */
-  uint64_t target_left_us;      /* time left until the latency target; 0 when it has passed */
-  bool is_caller_retry;         /* the caller was refused before and has come back */
-  bool earlier_attempt_arrived; /* an earlier attempt of the same request has arrived */
-  fb_str_t ticket;              /* empty unless the route needs one */
+  bool at_most_once;            /* the request is not repeatable */
+  uint64_t target_left_us;      /* time left until the target time; 0 when it has passed */
+  bool is_caller_retry;         /* the caller's request was refused before and is sent again */
+  bool earlier_attempt_arrived; /* an earlier attempt of the request reached a node */
+  fb_str_t ticket;              /* empty unless the route requires one */
   fb_str_t request_id;
   /* ANSWER */
   fw_outcome_t outcome;
   uint32_t status;      /* HTTP status */
-  bool close_delimited; /* only the end of its connection ended the body */
-  fb_str_t reason;      /* why a call was not run or is unknown */
-  bool retry_elsewhere; /* not run for a reason that other instances need not share */
-  bool reached_backend; /* the request has, or may have, reached the backend server */
-  uint32_t load;        /* slots in use plus waiting, per 1,000 slots */
+  bool close_delimited; /* the body ended with its connection */
+  fb_str_t reason;      /* why the outcome is not FW_ANSWERED */
+  bool retry_elsewhere; /* not run for a reason specific to this instance */
+  bool reached_backend; /* the request reached, or may have reached, the backend server */
+  uint32_t load;        /* running and waiting calls per 1,000 slots */
   uint64_t service_us;  /* time at the backend server */
-  uint64_t wait_us;     /* that a further call of the same rank may expect */
+  uint64_t wait_us;     /* expected wait of a further call of the same rank */
   /* CALL and ANSWER */
   size_t header_count;
   fw_header_t headers[FW_HEADERS_MAX];
   fb_bytes_t body;
 } fw_call_t;
 
-/* Encodes the header part of MESSAGE, all but BODY, into a new buffer that the caller frees
- * with g_free; the body travels as a second frame. */
+/* Encodes MESSAGE without its body into a new buffer that the caller frees with g_free; the
+ * body is sent as a second frame. */
 uint8_t *fw_encode_call (const fw_call_t *message, size_t *length);
 
 /* Decodes HEADER and BODY, which must outlive MESSAGE; FB_INVALID on anything malformed or over
  * a limit. */
 fb_status_t fw_decode_call (fb_bytes_t header, fb_bytes_t body, fw_call_t *message);
 
-/* Packs MESSAGE with its body into one new array: the length of the encoded header, it, and the
- * body. */
+/* Packs MESSAGE with its body into one new array: the length of the encoded header (32 bits,
+ * native byte order), the header and the body. */
 GByteArray *fw_pack_call (const fw_call_t *message);
 
-/* Reads what fw_pack_call has made; PACKED must outlive MESSAGE. FB_INVALID as above. */
+/* Decodes the result of fw_pack_call; PACKED must outlive MESSAGE. FB_INVALID on anything
+ * malformed or over a limit. */
 fb_status_t fw_unpack_call (fb_bytes_t packed, fw_call_t *message);
 
 /* Returns the lower-case name of OUTCOME, such as "not-run". */
--- a/packages/wire/include/foxtailrun/wire/control.h
+++ b/packages/wire/include/foxtailrun/wire/control.h
@@ -9,15 +9,15 @@
 /* Largest document in bytes, the platform's limit on a value. */
 #define FW_DOCUMENT_MAX (1024 * 1024)
 
-/* Members in one MEMBERS page. */
+/* Largest number of members in one page of a member list. */
 #define FW_MEMBERS_PER_PAGE_MAX 256
 
 typedef enum
 {
-  FW_SUMMARY_REQUEST = 1, /* which version do you hold? */
+  FW_SUMMARY_REQUEST = 1, /* no further fields */
   FW_SUMMARY = 2,         /* version, ready */
-  FW_FETCH = 3,           /* send your document; base is the digest held, zero for none */
-  FW_DOCUMENT = 4,        /* version, base, payload: zstd frame */
+  FW_FETCH = 3,           /* base_digest: the requester's document, zero for none */
+  FW_DOCUMENT = 4,        /* version, base_digest, payload: zstd frame */
   FW_MEMBERS_REQUEST = 5, /* page */
   FW_MEMBERS = 6          /* page, page_count, members */
 } fw_control_kind_t;
@@ -25,11 +25,11 @@
 typedef struct
 {
   fw_control_kind_t kind;
-  uint64_t request_id; /* chosen by the asker, repeated in the answer */
+  uint64_t request_id; /* chosen by the requester, repeated in the response */
   fb_name_t sender;
   fb_version_t version;
-  bool ready;              /* SUMMARY: the sender takes calls */
-  fb_digest_t base_digest; /* FETCH, DOCUMENT: the document the difference starts from */
+  bool ready;              /* SUMMARY: the sender accepts calls */
+  fb_digest_t base_digest; /* FETCH, DOCUMENT: the document that the delta applies to */
   uint32_t page;
   uint32_t page_count;
   fb_bytes_t payload; /* DOCUMENT: borrowed from the encoded bytes after decoding */
--- a/packages/wire/include/foxtailrun/wire/member.h
+++ b/packages/wire/include/foxtailrun/wire/member.h
@@ -1,10 +1,10 @@
-/* Description of one node as it travels between nodes. */
+/* Member record: one node as described in messages between nodes. */
 #ifndef FOXTAILRUN_WIRE_MEMBER_H
 #define FOXTAILRUN_WIRE_MEMBER_H
 
 #include <foxtailrun/base/string.h>
 
-/* Within one incarnation a later state in this list overrides an earlier one. */
+/* Within one incarnation a state overrides those listed before it. */
 typedef enum
 {
   FW_ALIVE,
@@ -13,11 +13,11 @@
   FW_DEAD
 } fw_member_state_t;
 
-/* One node: who it is, where it listens and which service its backend server belongs to. */
+/* One node: its identity, its ports and the service of its backend server. */
 typedef struct
 {
   fb_name_t id;
-  uint64_t incarnation; /* raised by the node itself only; at first its start time in ms */
+  uint64_t incarnation; /* raised only by the node itself; initially its start time in ms */
   fw_member_state_t state;
   fb_name_t address;     /* numeric IP address */
   uint16_t control_port; /* UDP gossip and TCP control */
@@ -28,17 +28,17 @@
   fb_name_t service; /* empty when no backend server is attached */
 } fw_member_t;
 
-/* An instance that a platform lists, with the node beside it. */
+/* An instance listed by the platform, with its node. */
 typedef struct
 {
   fw_member_t member;
-  uint32_t slots; /* calls that the backend server runs at once */
+  uint32_t slots; /* calls that the backend server runs concurrently */
 } fw_endpoint_t;
 
 /* Returns the lower-case name of STATE. */
 const char *fw_describe_state (fw_member_state_t state);
 
-/* Returns whether update NEWER overrides OLDER about the same node. */
+/* Returns whether record NEWER overrides OLDER of the same node. */
 bool fw_overrides (const fw_member_t *newer, const fw_member_t *older);
 
 #endif
--- a/packages/wire/source/wire-call.c
+++ b/packages/wire/source/wire-call.c
@@ -8,7 +8,7 @@
 #define CALL_FORMAT 3
 #define CALL_FIELDS 26
 
-/* Longest path, header value, ticket or reason in bytes. */
+/* Longest path, header name or value, ticket or other free text in bytes. */
 #define TEXT_MAX (16 * 1024)
 
 uint8_t *
@@ -106,12 +106,12 @@
 fw_decode_call (fb_bytes_t header, fb_bytes_t body, fw_call_t *message)
 {
   msgpack_unpacked unpacked;
-  bool good;
+  bool valid;
 
   memset (message, 0, sizeof *message);
-  good = fw_unpack (header, &unpacked) && read_call (&unpacked.data, message);
+  valid = fw_unpack (header, &unpacked) && read_call (&unpacked.data, message);
   msgpack_unpacked_destroy (&unpacked);
-  if (!good
+  if (!valid
       || body.len > (message->kind == FW_ANSWER ? FW_ANSWER_BODY_MAX : FW_REQUEST_BODY_MAX))
     return FB_INVALID;
   message->body = body;
@@ -123,10 +123,10 @@
 {
   size_t length;
   uint8_t *header = fw_encode_call (message, &length);
-  uint32_t prefix = (uint32_t)length;
+  uint32_t header_len = (uint32_t)length;
   GByteArray *packed = g_byte_array_new ();
 
-  g_byte_array_append (packed, (const guint8 *)&prefix, sizeof prefix);
+  g_byte_array_append (packed, (const guint8 *)&header_len, sizeof header_len);
   g_byte_array_append (packed, header, (guint)length);
   g_byte_array_append (packed, message->body.data, (guint)message->body.len);
   g_free (header);
@@ -136,17 +136,17 @@
 fb_status_t
 fw_unpack_call (fb_bytes_t packed, fw_call_t *message)
 {
-  uint32_t prefix;
+  uint32_t header_len;
 
-  if (packed.len < sizeof prefix)
+  if (packed.len < sizeof header_len)
     return FB_INVALID;
-  memcpy (&prefix, packed.data, sizeof prefix);
-  if (prefix > packed.len - sizeof prefix)
+  memcpy (&header_len, packed.data, sizeof header_len);
+  if (header_len > packed.len - sizeof header_len)
     return FB_INVALID;
-  return fw_decode_call (
-      (fb_bytes_t){ packed.data + sizeof prefix, prefix },
-      (fb_bytes_t){ packed.data + sizeof prefix + prefix, packed.len - sizeof prefix - prefix },
-      message);
+  return fw_decode_call ((fb_bytes_t){ packed.data + sizeof header_len, header_len },
+                         (fb_bytes_t){ packed.data + sizeof header_len + header_len,
+                                       packed.len - sizeof header_len - header_len },
+                         message);
 }
 
 const char *
--- a/packages/wire/source/wire-control.c
+++ b/packages/wire/source/wire-control.c
@@ -7,10 +7,10 @@
 
 #define CONTROL_FORMAT 1
 
-/* Most pages of a member list. */
-#define PAGES_MAX 4096
+/* Largest number of pages of one member list. */
+#define MEMBER_PAGES_MAX 4096
 
-/* Largest payload: a document that did not compress, with the frame's overhead. */
+/* Largest payload in bytes: an incompressible document with the overhead of its zstd frame. */
 #define PAYLOAD_MAX (FW_DOCUMENT_MAX + 64 * 1024)
 
 uint8_t *
@@ -45,7 +45,8 @@
   return copy;
 }
 
-/* Points PAYLOAD into BYTES: the unpacked object refers to the input and outlives the zone. */
+/* The payload points into the encoded bytes, not into memory of the unpacker, so that it stays
+ * valid after the unpacked object is destroyed. */
 static bool
 read_control (const msgpack_object *object, fw_control_t *message)
 {
@@ -60,8 +61,8 @@
   fw_read_version (&reader, &message->version);
   message->ready = fw_read_bool (&reader);
   fw_read_digest (&reader, &message->base_digest);
-  message->page = (uint32_t)fw_read_u64 (&reader, PAGES_MAX);
-  message->page_count = (uint32_t)fw_read_u64 (&reader, PAGES_MAX);
+  message->page = (uint32_t)fw_read_u64 (&reader, MEMBER_PAGES_MAX);
+  message->page_count = (uint32_t)fw_read_u64 (&reader, MEMBER_PAGES_MAX);
   message->payload = fw_read_bin (&reader, PAYLOAD_MAX);
   members = fw_start_reader (fw_read_array (&reader, FW_MEMBERS_PER_PAGE_MAX));
   if (!fw_finish_reader (&reader) || message->kind < FW_SUMMARY_REQUEST)
@@ -77,14 +78,14 @@
 fw_decode_control (fb_bytes_t bytes, fw_control_t *message)
 {
   msgpack_unpacked unpacked;
-  bool good;
+  bool valid;
 
   memset (message, 0, sizeof *message);
-  good = fw_unpack (bytes, &unpacked) && read_control (&unpacked.data, message);
+  valid = fw_unpack (bytes, &unpacked) && read_control (&unpacked.data, message);
   msgpack_unpacked_destroy (&unpacked);
-  if (!good)
+  if (!valid)
     fw_clear_control (message);
-  return good ? FB_OK : FB_INVALID;
+  return valid ? FB_OK : FB_INVALID;
 }
 
 void
--- a/packages/wire/source/wire-datagram.c
+++ b/packages/wire/source/wire-datagram.c
@@ -4,10 +4,10 @@
 #include <foxtailrun/wire/datagram.h>
 #include <string.h>
 
-/* First element of each datagram, so that a foreign or older sender is told apart. */
+/* First element of each datagram; datagrams of another format are rejected. */
 #define DATAGRAM_FORMAT 1
 
-/* Bytes kept for the array header of the updates. */
+/* Bytes reserved for the array header of the updates. */
 #define UPDATES_HEADER_LEN 3
 
 static void
@@ -23,31 +23,31 @@
   fw_pack_name (packer, &datagram->target);
 }
 
-/* Packs the updates that fit into LIMIT bytes into BODY and returns how many. */
+/* Packs updates into BODY while it is at most LIMIT bytes long; returns their number. */
 static size_t
 pack_updates (msgpack_sbuffer *body, const fw_datagram_t *datagram, size_t limit)
 {
   msgpack_packer packer;
-  size_t fitted = 0;
+  size_t packed_count = 0;
 
   msgpack_packer_init (&packer, body, msgpack_sbuffer_write);
-  while (fitted < datagram->update_count && fitted < FW_UPDATES_MAX)
+  while (packed_count < datagram->update_count && packed_count < FW_UPDATES_MAX)
     {
       size_t before = body->size;
-      fw_pack_member (&packer, &datagram->updates[fitted]);
+      fw_pack_member (&packer, &datagram->updates[packed_count]);
       if (body->size > limit)
         {
           body->size = before;
           break;
         }
-      fitted++;
+      packed_count++;
     }
-  return fitted;
+  return packed_count;
 }
 
 fb_status_t
 fw_encode_datagram (const fw_datagram_t *datagram, uint8_t buffer[FW_DATAGRAM_MAX],
-                    size_t *length, size_t *fitted)
+                    size_t *length, size_t *packed_count)
 {
   fb_status_t status = FB_TOO_LARGE;
   msgpack_sbuffer header;
@@ -62,8 +62,8 @@
   if (header.size + UPDATES_HEADER_LEN > FW_DATAGRAM_MAX)
     goto done;
   limit = FW_DATAGRAM_MAX - header.size - UPDATES_HEADER_LEN;
-  *fitted = pack_updates (&body, datagram, limit);
-  msgpack_pack_array (&packer, *fitted);
+  *packed_count = pack_updates (&body, datagram, limit);
+  msgpack_pack_array (&packer, *packed_count);
   memcpy (buffer, header.data, header.size);
   if (body.size > 0)
     memcpy (buffer + header.size, body.data, body.size);
@@ -102,11 +102,11 @@
 fw_decode_datagram (fb_bytes_t bytes, fw_datagram_t *datagram)
 {
   msgpack_unpacked unpacked;
-  bool good;
+  bool valid;
 
   if (bytes.len > FW_DATAGRAM_MAX)
     return FB_INVALID;
-  good = fw_unpack (bytes, &unpacked) && read_datagram (&unpacked.data, datagram);
+  valid = fw_unpack (bytes, &unpacked) && read_datagram (&unpacked.data, datagram);
   msgpack_unpacked_destroy (&unpacked);
-  return good ? FB_OK : FB_INVALID;
+  return valid ? FB_OK : FB_INVALID;
 }
--- a/packages/wire/source/wire-pack.h
+++ b/packages/wire/source/wire-pack.h
@@ -1,4 +1,4 @@
-/* Helpers shared by the encoders: packing of common fields. */
+/* Packing of the fields that several messages share. */
 #ifndef FOXTAILRUN_WIRE_PACK_H
 #define FOXTAILRUN_WIRE_PACK_H
 
--- a/packages/wire/source/wire-read.c
+++ b/packages/wire/source/wire-read.c
@@ -2,7 +2,7 @@
 #include <string.h>
 
 static const msgpack_object *
-take_item (fw_reader_t *reader, msgpack_object_type type)
+read_item (fw_reader_t *reader, msgpack_object_type type)
 {
   const msgpack_object *item;
 
@@ -37,7 +37,7 @@
 uint64_t
 fw_read_u64 (fw_reader_t *reader, uint64_t max)
 {
-  const msgpack_object *item = take_item (reader, MSGPACK_OBJECT_POSITIVE_INTEGER);
+  const msgpack_object *item = read_item (reader, MSGPACK_OBJECT_POSITIVE_INTEGER);
 
   if (!item)
     return 0;
@@ -52,7 +52,7 @@
 bool
 fw_read_bool (fw_reader_t *reader)
 {
-  const msgpack_object *item = take_item (reader, MSGPACK_OBJECT_BOOLEAN);
+  const msgpack_object *item = read_item (reader, MSGPACK_OBJECT_BOOLEAN);
 
   return item && item->via.boolean;
 }
@@ -60,14 +60,14 @@
 fb_str_t
 fw_read_str (fw_reader_t *reader, size_t max)
 {
-  const msgpack_object *item = take_item (reader, MSGPACK_OBJECT_STR);
+  const msgpack_object *item = read_item (reader, MSGPACK_OBJECT_STR);
 
   if (!item || item->via.str.size > max)
     {
       reader->failed = true;
       return (fb_str_t){ "", 0 };
     }
-  /* The library leaves a null pointer in an empty string, which memchr must not get. */
+  /* msgpack gives an empty string a null pointer, which memchr does not allow. */
   if (item->via.str.size == 0)
     return (fb_str_t){ "", 0 };
   return (fb_str_t){ item->via.str.ptr, item->via.str.size };
@@ -76,7 +76,7 @@
 fb_bytes_t
 fw_read_bin (fw_reader_t *reader, size_t max)
 {
-  const msgpack_object *item = take_item (reader, MSGPACK_OBJECT_BIN);
+  const msgpack_object *item = read_item (reader, MSGPACK_OBJECT_BIN);
 
   if (!item || item->via.bin.size > max)
     {
@@ -122,7 +122,7 @@
 const msgpack_object *
 fw_read_array (fw_reader_t *reader, size_t max)
 {
-  const msgpack_object *item = take_item (reader, MSGPACK_OBJECT_ARRAY);
+  const msgpack_object *item = read_item (reader, MSGPACK_OBJECT_ARRAY);
 
   if (item && item->via.array.size > max)
     {
--- a/packages/wire/source/wire-read.h
+++ b/packages/wire/source/wire-read.h
@@ -1,4 +1,4 @@
-/* Reader over one decoded msgpack array that remembers the first error. */
+/* Reader over one unpacked msgpack array, with a sticky error flag. */
 #ifndef FOXTAILRUN_WIRE_READ_H
 #define FOXTAILRUN_WIRE_READ_H
 
@@ -14,10 +14,10 @@
   bool failed; /* set by the first missing, mistyped or out-of-range element */
 } fw_reader_t;
 
-/* Starts reading OBJECT, which must be an array. */
+/* Starts reading OBJECT; the reader has failed when OBJECT is NULL or not an array. */
 fw_reader_t fw_start_reader (const msgpack_object *object);
 
-/* Returns whether every element was read without error. */
+/* Returns whether all elements were read without error. */
 bool fw_finish_reader (const fw_reader_t *reader);
 
 /* Reads a number of at most MAX. */
--- a/packages/wire/source/wire-unpack.c
+++ b/packages/wire/source/wire-unpack.c
@@ -1,56 +1,56 @@
 #include "wire-unpack.h"
 
-/* Deepest nesting of arrays: a datagram holds the updates, which hold members. */
+/* Deepest nesting of arrays; a datagram contains the array of updates, which are arrays. */
 #define DEPTH_MAX 4
 
 typedef struct
 {
   const uint8_t *data;
-  size_t left;
+  size_t remaining;
 } cursor_t;
 
-/* Takes a big-endian number of WIDTH bytes. */
+/* Reads a big-endian number of WIDTH bytes. */
 static bool
-take_number (cursor_t *cursor, size_t width, uint64_t *value)
+read_number (cursor_t *cursor, size_t width, uint64_t *value)
 {
-  if (cursor->left < width)
+  if (cursor->remaining < width)
     return false;
   *value = 0;
   for (size_t i = 0; i < width; i++)
     *value = *value << 8 | cursor->data[i];
   cursor->data += width;
-  cursor->left -= width;
+  cursor->remaining -= width;
   return true;
 }
 
 static bool
 skip_bytes (cursor_t *cursor, uint64_t count)
 {
-  if (count > cursor->left)
+  if (count > cursor->remaining)
     return false;
   cursor->data += count;
-  cursor->left -= count;
+  cursor->remaining -= count;
   return true;
 }
 
-/* Skips a string or byte range whose length takes WIDTH bytes. */
+/* Skips a string or byte range whose length field has WIDTH bytes. */
 static bool
 skip_sized (cursor_t *cursor, size_t width)
 {
   uint64_t count;
 
-  return take_number (cursor, width, &count) && skip_bytes (cursor, count);
+  return read_number (cursor, width, &count) && skip_bytes (cursor, count);
 }
 
-/* Skips one element. For an array only its header is skipped, and ELEMENTS is the number of
- * elements that follow, else 0. */
+/* Skips one element, or only the header of an array. Stores the number of array elements that
+ * follow, else 0, in ELEMENTS. */
 static bool
 skip_element (cursor_t *cursor, uint64_t *elements)
 {
   uint64_t tag;
 
   *elements = 0;
-  if (!take_number (cursor, 1, &tag))
+  if (!read_number (cursor, 1, &tag))
     return false;
   if (tag <= 0x7f || tag >= 0xe0) /* small integers */
     return true;
@@ -90,41 +90,41 @@
     case 0xdb:
       return skip_sized (cursor, (size_t)1 << (tag - 0xd9));
     case 0xdc: /* arrays */
-      return take_number (cursor, 2, elements);
+      return read_number (cursor, 2, elements);
     case 0xdd:
-      return take_number (cursor, 4, elements);
+      return read_number (cursor, 4, elements);
     default: /* maps, extension types and the unused tag */
       return false;
     }
 }
 
-/* Returns whether BYTES are one object whose arrays have as many elements as they claim. The
- * library allocates an array from its header alone, so that eight bytes can ask for gigabytes.
- */
+/* Returns whether BYTES are one object whose arrays have the number of elements declared.
+ * msgpack allocates an array from its header alone, so that a header of a few bytes could cause
+ * an allocation of gigabytes. */
 static bool
 is_well_formed (fb_bytes_t bytes)
 {
   cursor_t cursor = { bytes.data, bytes.len };
-  uint64_t open[DEPTH_MAX]; /* elements still to come in each open array */
+  uint64_t pending[DEPTH_MAX]; /* elements left to skip in each open array */
   uint64_t elements;
   size_t depth = 0;
 
   do
     {
-      if (!skip_element (&cursor, &elements) || elements > cursor.left)
+      if (!skip_element (&cursor, &elements) || elements > cursor.remaining)
         return false;
       if (elements > 0)
         {
           if (depth == DEPTH_MAX)
             return false;
-          open[depth++] = elements;
+          pending[depth++] = elements;
           continue;
         }
-      while (depth > 0 && --open[depth - 1] == 0)
+      while (depth > 0 && --pending[depth - 1] == 0)
         depth--;
     }
   while (depth > 0);
-  return cursor.left == 0;
+  return cursor.remaining == 0;
 }
 
 bool
--- a/packages/wire/source/wire-unpack.h
+++ b/packages/wire/source/wire-unpack.h
@@ -1,4 +1,4 @@
-/* Unpacking of received bytes that cannot make the library allocate more than they justify. */
+/* Unpacking of received bytes with memory use bounded by their length. */
 #ifndef FOXTAILRUN_WIRE_UNPACK_H
 #define FOXTAILRUN_WIRE_UNPACK_H
 
@@ -6,8 +6,8 @@
 #include <msgpack.h>
 
 /* Unpacks BYTES, one msgpack object, into UNPACKED, whose strings borrow BYTES. Returns false
- * for anything malformed, for trailing bytes, maps and extension types, which no message has,
- * and for arrays nested deeper than any message. Destroy UNPACKED in either case. */
+ * for malformed input, trailing bytes, maps and extension types, which no message uses, and
+ * arrays nested deeper than in any message. Destroy UNPACKED in either case. */
 bool fw_unpack (fb_bytes_t bytes, msgpack_unpacked *unpacked);
 
 #endif
--- a/packages/wire/tests/test-wire.c
+++ b/packages/wire/tests/test-wire.c
@@ -41,15 +41,15 @@
   g_assert_cmpstr (a->service.data, ==, b->service.data);
 }
 
-/* Guards against fields that change on the way and datagrams over the size limit. */
+/* Guards against fields that change in transit and datagrams over the size limit. */
 static void
 test_datagram_round_trip (void)
 {
   fw_datagram_t *sent = g_new0 (fw_datagram_t, 1);
-  fw_datagram_t *got = g_new0 (fw_datagram_t, 1);
+  fw_datagram_t *decoded = g_new0 (fw_datagram_t, 1);
   uint8_t buffer[FW_DATAGRAM_MAX];
   size_t length;
-  size_t fitted;
+  size_t packed_count;
 
   sent->kind = FW_PING_REQ;
   sent->sequence = 42;
@@ -60,22 +60,22 @@
   sent->update_count = FW_UPDATES_MAX;
   for (int i = 0; i < FW_UPDATES_MAX; i++)
     sent->updates[i] = make_member (i);
-  g_assert_cmpint (fw_encode_datagram (sent, buffer, &length, &fitted), ==, FB_OK);
+  g_assert_cmpint (fw_encode_datagram (sent, buffer, &length, &packed_count), ==, FB_OK);
   g_assert_cmpuint (length, <=, FW_DATAGRAM_MAX);
-  g_assert_cmpuint (fitted, >, 5);
-  g_assert_cmpuint (fitted, <, FW_UPDATES_MAX);
-  g_assert_cmpint (fw_decode_datagram ((fb_bytes_t){ buffer, length }, got), ==, FB_OK);
-  g_assert_cmpint (got->kind, ==, FW_PING_REQ);
-  g_assert_cmpuint (got->sequence, ==, 42);
-  g_assert_cmpint (fb_compare_versions (&got->version, &sent->version), ==, 0);
-  g_assert_cmpuint (got->members_digest, ==, 99);
-  g_assert_cmpstr (got->target.data, ==, "node-0002");
-  assert_same_member (&got->sender, &sent->sender);
-  g_assert_cmpuint (got->update_count, ==, fitted);
-  for (size_t i = 0; i < fitted; i++)
-    assert_same_member (&got->updates[i], &sent->updates[i]);
+  g_assert_cmpuint (packed_count, >, 5);
+  g_assert_cmpuint (packed_count, <, FW_UPDATES_MAX);
+  g_assert_cmpint (fw_decode_datagram ((fb_bytes_t){ buffer, length }, decoded), ==, FB_OK);
+  g_assert_cmpint (decoded->kind, ==, FW_PING_REQ);
+  g_assert_cmpuint (decoded->sequence, ==, 42);
+  g_assert_cmpint (fb_compare_versions (&decoded->version, &sent->version), ==, 0);
+  g_assert_cmpuint (decoded->members_digest, ==, 99);
+  g_assert_cmpstr (decoded->target.data, ==, "node-0002");
+  assert_same_member (&decoded->sender, &sent->sender);
+  g_assert_cmpuint (decoded->update_count, ==, packed_count);
+  for (size_t i = 0; i < packed_count; i++)
+    assert_same_member (&decoded->updates[i], &sent->updates[i]);
   g_free (sent);
-  g_free (got);
+  g_free (decoded);
 }
 
 static fw_control_t
@@ -94,26 +94,27 @@
                          .members = members };
 }
 
-/* Guards against control messages whose payload or member list changes on the way. */
+/* Guards against control messages whose payload or member list changes in transit. */
 static void
 test_control_round_trip (void)
 {
   fw_member_t members[2] = { make_member (1), make_member (2) };
   fw_control_t sent = make_control (members);
-  fw_control_t got;
+  fw_control_t decoded;
   size_t length;
   uint8_t *bytes = fw_encode_control (&sent, &length);
 
-  g_assert_cmpint (fw_decode_control ((fb_bytes_t){ bytes, length }, &got), ==, FB_OK);
-  g_assert_cmpint (got.kind, ==, FW_DOCUMENT);
-  g_assert_cmpuint (got.request_id, ==, 3);
-  g_assert_true (got.ready);
-  g_assert_cmpmem (got.payload.data, got.payload.len, "payload", 7);
-  g_assert_cmpmem (got.base_digest.bytes, FB_DIGEST_LEN, sent.base_digest.bytes, FB_DIGEST_LEN);
-  g_assert_cmpuint (got.page_count, ==, 2);
-  g_assert_cmpuint (got.member_count, ==, 2);
-  assert_same_member (&got.members[1], &members[1]);
-  fw_clear_control (&got);
+  g_assert_cmpint (fw_decode_control ((fb_bytes_t){ bytes, length }, &decoded), ==, FB_OK);
+  g_assert_cmpint (decoded.kind, ==, FW_DOCUMENT);
+  g_assert_cmpuint (decoded.request_id, ==, 3);
+  g_assert_true (decoded.ready);
+  g_assert_cmpmem (decoded.payload.data, decoded.payload.len, "payload", 7);
+  g_assert_cmpmem (decoded.base_digest.bytes, FB_DIGEST_LEN, sent.base_digest.bytes,
+                   FB_DIGEST_LEN);
+  g_assert_cmpuint (decoded.page_count, ==, 2);
+  g_assert_cmpuint (decoded.member_count, ==, 2);
+  assert_same_member (&decoded.members[1], &members[1]);
+  fw_clear_control (&decoded);
   g_free (bytes);
 }
 
@@ -136,31 +137,32 @@
                       = { { FB_LITERAL ("content-type"), FB_LITERAL ("text/plain") } } };
 }
 
-/* Guards against calls whose request changes on the way. */
+/* Guards against calls whose request changes in transit. */
 static void
 test_call_round_trip (void)
 {
   fw_call_t sent = make_call ();
-  fw_call_t got;
+  fw_call_t decoded;
   size_t length;
   uint8_t *bytes = fw_encode_call (&sent, &length);
   fb_bytes_t body = { (const uint8_t *)"body", 4 };
 
-  g_assert_cmpint (fw_decode_call ((fb_bytes_t){ bytes, length }, body, &got), ==, FB_OK);
-  g_assert_cmpuint (got.id, ==, UINT64_MAX);
-  g_assert_cmpuint (got.remaining_us, ==, 250000);
-  g_assert_true (fb_equal_str (got.path, sent.path));
-  g_assert_true (fb_equal_str (got.ticket, sent.ticket));
-  g_assert_cmpuint (got.header_count, ==, 1);
-  g_assert_true (fb_equal_str (got.headers[0].value, sent.headers[0].value));
-  g_assert_cmpmem (got.body.data, got.body.len, "body", 4);
+  g_assert_cmpint (fw_decode_call ((fb_bytes_t){ bytes, length }, body, &decoded), ==, FB_OK);
+  g_assert_cmpuint (decoded.id, ==, UINT64_MAX);
+  g_assert_cmpuint (decoded.remaining_us, ==, 250000);
+  g_assert_true (fb_equal_str (decoded.path, sent.path));
+  g_assert_true (fb_equal_str (decoded.ticket, sent.ticket));
+  g_assert_cmpuint (decoded.header_count, ==, 1);
+  g_assert_true (fb_equal_str (decoded.headers[0].value, sent.headers[0].value));
+  g_assert_cmpmem (decoded.body.data, decoded.body.len, "body", 4);
   body.len = FW_REQUEST_BODY_MAX + 1;
-  g_assert_cmpint (fw_decode_call ((fb_bytes_t){ bytes, length }, body, &got), ==, FB_INVALID);
+  g_assert_cmpint (fw_decode_call ((fb_bytes_t){ bytes, length }, body, &decoded), ==,
+                   FB_INVALID);
   g_free (bytes);
 }
 
 static fw_feed_message_t
-make_news (fw_endpoint_t endpoints[2])
+make_feed (fw_endpoint_t endpoints[2])
 {
   endpoints[0] = (fw_endpoint_t){ make_member (1), 9 };
   endpoints[1] = (fw_endpoint_t){ make_member (2), UINT32_MAX };
@@ -178,34 +180,34 @@
                               .endpoints = endpoints };
 }
 
-/* Guards against news whose endpoints or configuration change on the way. */
+/* Guards against feed messages whose endpoints or configuration change in transit. */
 static void
-test_news_round_trip (void)
+test_feed_round_trip (void)
 {
   fw_endpoint_t endpoints[2];
-  fw_feed_message_t sent = make_news (endpoints);
-  fw_feed_message_t got;
+  fw_feed_message_t sent = make_feed (endpoints);
+  fw_feed_message_t decoded;
   size_t length;
   uint8_t *bytes = fw_encode_feed (&sent, &length);
 
-  g_assert_cmpint (fw_decode_feed ((fb_bytes_t){ bytes, length }, &got), ==, FB_OK);
-  g_assert_cmpint (got.kind, ==, FW_FEED_UPDATE);
-  g_assert_cmpuint (got.feed_id, ==, UINT64_MAX);
-  g_assert_cmpuint (got.sequence, ==, 7);
-  g_assert_cmpuint (got.position, ==, 8);
-  g_assert_cmpuint (got.document_position, ==, 9);
-  g_assert_cmpmem (got.digest.bytes, FB_DIGEST_LEN, sent.digest.bytes, FB_DIGEST_LEN);
-  g_assert_cmpmem (got.delta.data, got.delta.len, "delta", 5);
-  g_assert_cmpuint (got.age_us, ==, 10);
-  g_assert_cmpuint (got.request_wait_us, ==, 11);
-  g_assert_true (got.complete);
-  g_assert_cmpuint (got.endpoint_count, ==, 2);
+  g_assert_cmpint (fw_decode_feed ((fb_bytes_t){ bytes, length }, &decoded), ==, FB_OK);
+  g_assert_cmpint (decoded.kind, ==, FW_FEED_UPDATE);
+  g_assert_cmpuint (decoded.feed_id, ==, UINT64_MAX);
+  g_assert_cmpuint (decoded.sequence, ==, 7);
+  g_assert_cmpuint (decoded.position, ==, 8);
+  g_assert_cmpuint (decoded.document_position, ==, 9);
+  g_assert_cmpmem (decoded.digest.bytes, FB_DIGEST_LEN, sent.digest.bytes, FB_DIGEST_LEN);
+  g_assert_cmpmem (decoded.delta.data, decoded.delta.len, "delta", 5);
+  g_assert_cmpuint (decoded.age_us, ==, 10);
+  g_assert_cmpuint (decoded.request_wait_us, ==, 11);
+  g_assert_true (decoded.complete);
+  g_assert_cmpuint (decoded.endpoint_count, ==, 2);
   for (size_t i = 0; i < 2; i++)
     {
-      assert_same_member (&got.endpoints[i].member, &endpoints[i].member);
-      g_assert_cmpuint (got.endpoints[i].slots, ==, endpoints[i].slots);
+      assert_same_member (&decoded.endpoints[i].member, &endpoints[i].member);
+      g_assert_cmpuint (decoded.endpoints[i].slots, ==, endpoints[i].slots);
     }
-  fw_clear_feed (&got);
+  fw_clear_feed (&decoded);
   g_free (bytes);
 }
 
@@ -215,7 +217,7 @@
   fw_datagram_t datagram;
   fw_control_t control;
   fw_call_t call;
-  fw_feed_message_t news;
+  fw_feed_message_t feed;
   fb_status_t status;
 
   if (codec == 0)
@@ -224,9 +226,9 @@
     return fw_decode_call (bytes, (fb_bytes_t){ NULL, 0 }, &call);
   if (codec == 3)
     {
-      status = fw_decode_feed (bytes, &news);
+      status = fw_decode_feed (bytes, &feed);
       if (status == FB_OK)
-        fw_clear_feed (&news);
+        fw_clear_feed (&feed);
       return status;
     }
   status = fw_decode_control (bytes, &control);
@@ -243,22 +245,23 @@
   fw_control_t control = make_control (members);
   fw_call_t call = make_call ();
   fw_endpoint_t endpoints[2];
-  fw_feed_message_t news = make_news (endpoints);
+  fw_feed_message_t feed = make_feed (endpoints);
   uint8_t *buffer;
-  size_t fitted;
+  size_t packed_count;
 
   if (codec == 1)
     return fw_encode_control (&control, length);
   if (codec == 2)
     return fw_encode_call (&call, length);
   if (codec == 3)
-    return fw_encode_feed (&news, length);
+    return fw_encode_feed (&feed, length);
   buffer = g_malloc (FW_DATAGRAM_MAX);
-  g_assert_cmpint (fw_encode_datagram (&datagram, buffer, length, &fitted), ==, FB_OK);
+  g_assert_cmpint (fw_encode_datagram (&datagram, buffer, length, &packed_count), ==, FB_OK);
   return buffer;
 }
 
-/* Guards against decoders that accept a cut message, or read past the end of a changed one. */
+/* Guards against decoders that accept a truncated message or read past the end of a corrupted
+ * one. */
 static void
 test_malformed (void)
 {
@@ -267,33 +270,34 @@
   for (int codec = 0; codec < 4; codec++)
     {
       size_t length;
-      uint8_t *good = encode_any (codec, &length);
+      uint8_t *encoded = encode_any (codec, &length);
 
-      g_assert_cmpint (decode_any (codec, (fb_bytes_t){ good, length }), ==, FB_OK);
-      for (size_t cut = 0; cut < length; cut++)
+      g_assert_cmpint (decode_any (codec, (fb_bytes_t){ encoded, length }), ==, FB_OK);
+      for (size_t truncated_len = 0; truncated_len < length; truncated_len++)
         {
-          uint8_t *copy = g_memdup2 (good, cut);
-          g_assert_cmpint (decode_any (codec, (fb_bytes_t){ copy, cut }), ==, FB_INVALID);
+          uint8_t *copy = g_memdup2 (encoded, truncated_len);
+          g_assert_cmpint (decode_any (codec, (fb_bytes_t){ copy, truncated_len }), ==,
+                           FB_INVALID);
           g_free (copy);
         }
       for (int round = 0; round < 20000; round++)
         {
-          uint8_t *copy = g_memdup2 (good, length);
+          uint8_t *copy = g_memdup2 (encoded, length);
           int changes = g_rand_int_range (random, 1, 5);
           for (int i = 0; i < changes; i++)
             copy[g_rand_int_range (random, 0, (gint32)length)] = (uint8_t)g_rand_int (random);
           decode_any (codec, (fb_bytes_t){ copy, length });
           g_free (copy);
         }
-      g_free (good);
+      g_free (encoded);
     }
   g_rand_free (random);
 }
 
-/* Guards against a few bytes that make the decoder reserve memory for elements that do not
- * exist. */
+/* Guards against short messages whose declared sizes make the decoder allocate memory for
+ * elements that do not exist. */
 static void
-test_claimed_sizes (void)
+test_declared_sizes (void)
 {
   static const struct
   {
@@ -318,7 +322,7 @@
     }
 }
 
-/* Guards against an older description of a member that overrides a newer one. */
+/* Guards against an older record of a member that overrides a newer one. */
 static void
 test_override (void)
 {
@@ -352,9 +356,9 @@
   g_test_add_func ("/wire/datagram-round-trip", test_datagram_round_trip);
   g_test_add_func ("/wire/control-round-trip", test_control_round_trip);
   g_test_add_func ("/wire/call-round-trip", test_call_round_trip);
-  g_test_add_func ("/wire/news", test_news_round_trip);
+  g_test_add_func ("/wire/feed-round-trip", test_feed_round_trip);
   g_test_add_func ("/wire/malformed", test_malformed);
-  g_test_add_func ("/wire/claimed-sizes", test_claimed_sizes);
+  g_test_add_func ("/wire/declared-sizes", test_declared_sizes);
   g_test_add_func ("/wire/override", test_override);
   return g_test_run ();
 }
