--- a/packages/base/include/foxtailrun/base/clock.h
+++ b/packages/base/include/foxtailrun/base/clock.h
@@ -1,4 +1,4 @@
-/* Monotonic time. The daemon's clock follows the event loop; tests use a manual clock. */
+/* Monotonic clocks. The daemon uses the event loop's time, tests use a manual clock. */
 #ifndef FOXTAILRUN_BASE_CLOCK_H
 #define FOXTAILRUN_BASE_CLOCK_H
 
@@ -13,19 +13,19 @@
 
 typedef struct fb_clock fb_clock_t;
 
-/* Returns the current time of a clock, in nanoseconds, never less than before. */
+/* Returns the current time in nanoseconds; must not decrease between calls. */
 typedef fb_time_t (*fb_read_clock_fn_t) (void *user);
 
-/* Creates a clock that reads time by READ with USER; destroy with fb_destroy_clock. */
+/* Creates a clock that calls READ with USER; destroy with fb_destroy_clock. */
 fb_clock_t *fb_create_clock (fb_read_clock_fn_t read, void *user);
 
-/* Creates a clock of the operating system's monotonic time. */
+/* Creates a clock that reads the operating system's monotonic time. */
 fb_clock_t *fb_create_system_clock (void);
 
-/* Creates a clock that stands at START ns until fb_advance_clock moves it. */
+/* Creates a clock that stays at START ns until fb_advance_clock is called. */
 fb_clock_t *fb_create_manual_clock (fb_time_t start);
 
-/* Moves a manual clock forward by DURATION ns, which must not be negative. */
+/* Advances a manual clock by DURATION ns, which must not be negative. */
 void fb_advance_clock (fb_clock_t *clock, fb_time_t duration);
 
 /* Returns the current time in nanoseconds. */
--- a/packages/base/include/foxtailrun/base/counter.h
+++ b/packages/base/include/foxtailrun/base/counter.h
@@ -14,23 +14,21 @@
 void fb_destroy_counters (fb_counters_t *counters);
 
 /* Returns the counter NAME with LABELS (Prometheus label text without braces, or ""), created
- * at 0 when missing; owned by the table and valid until it is destroyed. */
+ * with value 0 when missing; owned by the table and valid until the table is destroyed. */
 fb_counter_t *fb_find_counter (fb_counters_t *counters, const char *name, const char *labels);
 
-/* Adds AMOUNT. */
 void fb_add_counter (fb_counter_t *counter, uint64_t amount);
 
 /* Sets a gauge to VALUE. */
 void fb_set_counter (fb_counter_t *counter, uint64_t value);
 
-/* Returns the current value. */
 uint64_t fb_get_counter (const fb_counter_t *counter);
 
-/* Receives one counter during fb_visit_counters; strings are borrowed. */
+/* Receives one counter from fb_visit_counters; strings are borrowed. */
 typedef void (*fb_visit_counter_fn_t) (const char *name, const char *labels, uint64_t value,
                                        void *user);
 
-/* Visits all counters ordered by name, then labels. */
+/* Calls VISIT for all counters in the order of name, then labels. */
 void fb_visit_counters (fb_counters_t *counters, fb_visit_counter_fn_t visit, void *user);
 
 #endif
--- a/packages/base/include/foxtailrun/base/digest.h
+++ b/packages/base/include/foxtailrun/base/digest.h
@@ -1,4 +1,4 @@
-/* Digests of content and fast hashes for placement. */
+/* Content digests and non-cryptographic hashes. */
 #ifndef FOXTAILRUN_BASE_DIGEST_H
 #define FOXTAILRUN_BASE_DIGEST_H
 
@@ -7,7 +7,7 @@
 #define FB_DIGEST_LEN 32
 #define FB_DIGEST_HEX_LEN (2 * FB_DIGEST_LEN)
 
-/* A BLAKE2b digest; all zero stands for "none". */
+/* A BLAKE2b-256 digest; all bytes zero mean "none". */
 typedef struct
 {
   uint8_t bytes[FB_DIGEST_LEN];
@@ -22,10 +22,10 @@
 /* Writes DIGEST as lower-case hexadecimal text with a final NUL byte. */
 void fb_format_digest (const fb_digest_t *digest, char text[FB_DIGEST_HEX_LEN + 1]);
 
-/* Returns the xxHash64 of STR under SEED; stable between processes and hosts. */
+/* Returns the xxHash64 of STR with SEED; the same in all processes and on all hosts. */
 uint64_t fb_hash_str (fb_str_t str, uint64_t seed);
 
-/* Returns the rendezvous weight of NAME for KEY; the highest weight is the owner. */
+/* Returns the rendezvous weight of NAME for KEY; the name with the highest weight owns KEY. */
 uint64_t fb_get_rendezvous_weight (fb_str_t key, fb_str_t name);
 
 /* Hash and equality of fb_name_t pointers, for GLib's hash tables. */
--- a/packages/base/include/foxtailrun/base/histogram.h
+++ b/packages/base/include/foxtailrun/base/histogram.h
@@ -1,4 +1,4 @@
-/* Histograms of times, kept as counters with fixed buckets. */
+/* Histograms of durations with fixed buckets, stored as counters. */
 #ifndef FOXTAILRUN_BASE_HISTOGRAM_H
 #define FOXTAILRUN_BASE_HISTOGRAM_H
 
@@ -15,7 +15,7 @@
 /* Frees HISTOGRAM; its counters stay. NULL is allowed. */
 void fb_destroy_histogram (fb_histogram_t *histogram);
 
-/* Counts one TIME in ns. */
-void fb_observe_time (fb_histogram_t *histogram, fb_time_t time);
+/* Adds one DURATION in ns; a negative one counts as 0. */
+void fb_observe_time (fb_histogram_t *histogram, fb_time_t duration);
 
 #endif
--- a/packages/base/include/foxtailrun/base/invariant.h
+++ b/packages/base/include/foxtailrun/base/invariant.h
@@ -1,15 +1,15 @@
-/* Invariants that stop the process when broken. */
+/* Checks of invariants; a violation aborts the process. */
 #ifndef FOXTAILRUN_BASE_INVARIANT_H
 #define FOXTAILRUN_BASE_INVARIANT_H
 
 #include <stdbool.h>
 
-/* Reports the broken invariant on standard error and aborts. */
+/* Reports the violated invariant on standard error and aborts. */
 void fb_fail_invariant (const char *expression, const char *file, int line)
     __attribute__ ((noreturn));
 
-/* Stops the process when CONDITION is false; for programming errors only, never for bad input.
- */
+/* Aborts the process when CONDITION is false; for programming errors only, not for invalid
+ * input. */
 #define FB_INVARIANT(condition)                                                                \
   do                                                                                           \
     {                                                                                          \
--- a/packages/base/include/foxtailrun/base/log.h
+++ b/packages/base/include/foxtailrun/base/log.h
@@ -1,4 +1,4 @@
-/* Structured log lines as logfmt or JSON, with a level per service and a limit on repeats. */
+/* Structured logs in logfmt or JSON, with levels by service and limits on repeated messages. */
 #ifndef FOXTAILRUN_BASE_LOG_H
 #define FOXTAILRUN_BASE_LOG_H
 
@@ -20,7 +20,7 @@
   FB_LOG_JSON
 } fb_log_format_t;
 
-/* One key with a text (TEXT.data not NULL) or a number. */
+/* One key with a text, or with a number when TEXT.data is NULL. */
 typedef struct
 {
   const char *key;
@@ -30,11 +30,11 @@
 
 typedef struct fb_log fb_log_t;
 
-/* Receives one whole line with its final newline; LINE is borrowed. */
+/* Receives one complete line with its final newline; LINE is borrowed. */
 typedef void (*fb_log_sink_fn_t) (fb_str_t line, void *user);
 
-/* Creates a logger that passes lines of at least LEVEL to SINK; CLOCK is borrowed and gives the
- * time field in milliseconds. A NULL SINK writes to standard error. */
+/* Creates a logger that passes lines of at least LEVEL to SINK; CLOCK is borrowed and supplies
+ * the time field in milliseconds. A NULL SINK writes to standard error. */
 fb_log_t *fb_create_log (const fb_clock_t *clock, fb_log_format_t format, fb_log_level_t level,
                          fb_log_sink_fn_t sink, void *user);
 
@@ -44,20 +44,22 @@
 /* Overrides the level of one SERVICE. */
 void fb_set_log_level (fb_log_t *log, const char *service, fb_log_level_t level);
 
-/* Allows LINES of each message of SERVICE in 10 s, in place of 10. */
+/* Limits each message of SERVICE to LINES in 10 s; the default is 10. */
 void fb_set_log_limit (fb_log_t *log, const char *service, uint32_t lines);
 
-/* A sink that writes to standard output and drops, and counts, what it does not take at once;
- * USER is an fb_stdout_sink_t. */
+/* State of fb_write_stdout. */
 typedef struct
 {
-  uint64_t dropped; /* lines since the start */
+  uint64_t dropped; /* lines dropped since the start */
 } fb_stdout_sink_t;
 
+/* A sink that writes to standard output without blocking; lines that cannot be written at once
+ * are dropped and counted. USER is an fb_stdout_sink_t. */
 void fb_write_stdout (fb_str_t line, void *user);
 
-/* Writes one line; a NULL LOG drops it. The same service and message is written at most 10
- * times in 10 s, and the next line after that carries the number left out. */
+/* Writes one line; a NULL LOG drops it. Lines of one service and message over the limit of a
+ * 10 s period are suppressed; the next line after it has their number in the field "dropped".
+ */
 void fb_write_log (fb_log_t *log, fb_log_level_t level, const char *service,
                    const char *message, const fb_log_field_t *fields, size_t count);
 
--- a/packages/base/include/foxtailrun/base/status.h
+++ b/packages/base/include/foxtailrun/base/status.h
@@ -7,9 +7,9 @@
 {
   FB_OK,          /* done */
   FB_INVALID,     /* the input is malformed or out of range */
-  FB_NOT_FOUND,   /* the named thing does not exist */
-  FB_CONFLICT,    /* contradicts what is already held */
-  FB_TOO_LARGE,   /* over a stated limit */
+  FB_NOT_FOUND,   /* the named object does not exist */
+  FB_CONFLICT,    /* contradicts existing data */
+  FB_TOO_LARGE,   /* over a documented limit */
   FB_UNAVAILABLE, /* not possible now; may succeed later */
   FB_TIMEOUT,     /* not done before the deadline */
   FB_IO           /* the operating system or a library reported an error */
--- a/packages/base/include/foxtailrun/base/string.h
+++ b/packages/base/include/foxtailrun/base/string.h
@@ -23,7 +23,7 @@
 /* Longest name of a node, zone, region, service, rank, route or customer, in bytes. */
 #define FB_NAME_MAX 47
 
-/* A short name held by value; DATA always ends in a NUL byte after LEN bytes. */
+/* A short name stored by value; DATA always ends in a NUL byte after LEN bytes. */
 typedef struct
 {
   uint8_t len;
@@ -36,10 +36,9 @@
 /* Wraps the NUL-terminated TEXT, which may be NULL; the result borrows it. */
 fb_str_t fb_wrap_text (const char *text);
 
-/* Returns whether A and B hold the same bytes. */
+/* Returns whether A and B contain the same bytes. */
 bool fb_equal_str (fb_str_t a, fb_str_t b);
 
-/* Returns whether STR starts with PREFIX. */
 bool fb_has_prefix (fb_str_t str, fb_str_t prefix);
 
 /* Copies STR into a new NUL-terminated string that the caller frees with g_free. */
@@ -49,19 +48,18 @@
  */
 bool fb_set_name (fb_name_t *name, fb_str_t str);
 
-/* Makes a name from a NUL-terminated TEXT; cut at FB_NAME_MAX bytes. */
+/* Returns the NUL-terminated TEXT as a name, truncated to FB_NAME_MAX bytes. */
 fb_name_t fb_make_name (const char *text);
 
 /* Returns the bytes of NAME, borrowed. */
 fb_str_t fb_get_name (const fb_name_t *name);
 
-/* Returns whether two names are equal. */
 bool fb_equal_name (const fb_name_t *a, const fb_name_t *b);
 
 /* Orders two names bytewise: below, at or above 0. */
 int fb_compare_names (const fb_name_t *a, const fb_name_t *b);
 
-/* Parses a decimal number that fills STR; returns false on anything else or on overflow. */
+/* Parses STR as a decimal number; returns false on any other character or on overflow. */
 bool fb_parse_u64 (fb_str_t str, uint64_t *value);
 
 #endif
--- a/packages/base/source/clock.c
+++ b/packages/base/source/clock.c
@@ -7,13 +7,13 @@
 {
   fb_read_clock_fn_t read;
   void *user;
-  fb_time_t manual;
+  fb_time_t manual_time;
 };
 
 static fb_time_t
 read_manual (void *user)
 {
-  return ((fb_clock_t *)user)->manual;
+  return ((fb_clock_t *)user)->manual_time;
 }
 
 static fb_time_t
@@ -47,7 +47,7 @@
   fb_clock_t *clock = fb_create_clock (read_manual, NULL);
 
   clock->user = clock;
-  clock->manual = start;
+  clock->manual_time = start;
   return clock;
 }
 
@@ -56,7 +56,7 @@
 {
   FB_INVARIANT (clock->read == read_manual);
   FB_INVARIANT (duration >= 0);
-  clock->manual += duration;
+  clock->manual_time += duration;
 }
 
 fb_time_t
--- a/packages/base/source/counter.c
+++ b/packages/base/source/counter.c
@@ -54,8 +54,8 @@
 fb_counter_t *
 fb_find_counter (fb_counters_t *counters, const char *name, const char *labels)
 {
-  fb_counter_t probe = { .name = (char *)name, .labels = (char *)labels };
-  fb_counter_t *counter = g_tree_lookup (counters->by_key, &probe);
+  fb_counter_t key = { .name = (char *)name, .labels = (char *)labels };
+  fb_counter_t *counter = g_tree_lookup (counters->by_key, &key);
 
   if (counter)
     return counter;
--- a/packages/base/source/histogram.c
+++ b/packages/base/source/histogram.c
@@ -15,22 +15,22 @@
 static fb_counter_t *
 find_bucket (fb_counters_t *counters, const char *name, const char *labels, const char *bound)
 {
-  char *full = g_strconcat (name, "_bucket", NULL);
-  char *text = g_strdup_printf ("%s%sle=\"%s\"", labels, labels[0] ? "," : "", bound);
-  fb_counter_t *counter = fb_find_counter (counters, full, text);
+  char *full_name = g_strconcat (name, "_bucket", NULL);
+  char *bucket_labels = g_strdup_printf ("%s%sle=\"%s\"", labels, labels[0] ? "," : "", bound);
+  fb_counter_t *counter = fb_find_counter (counters, full_name, bucket_labels);
 
-  g_free (text);
-  g_free (full);
+  g_free (bucket_labels);
+  g_free (full_name);
   return counter;
 }
 
 static fb_counter_t *
 find_total (fb_counters_t *counters, const char *name, const char *suffix, const char *labels)
 {
-  char *full = g_strconcat (name, suffix, NULL);
-  fb_counter_t *counter = fb_find_counter (counters, full, labels);
+  char *full_name = g_strconcat (name, suffix, NULL);
+  fb_counter_t *counter = fb_find_counter (counters, full_name, labels);
 
-  g_free (full);
+  g_free (full_name);
   return counter;
 }
 
@@ -59,9 +59,9 @@
 }
 
 void
-fb_observe_time (fb_histogram_t *histogram, fb_time_t time)
+fb_observe_time (fb_histogram_t *histogram, fb_time_t duration)
 {
-  uint64_t us = (uint64_t)(MAX (time, 0) / FB_MICROSECOND);
+  uint64_t us = (uint64_t)(MAX (duration, 0) / FB_MICROSECOND);
 
   for (size_t i = 0; i <= G_N_ELEMENTS (bounds); i++)
     if (i == G_N_ELEMENTS (bounds) || us <= bounds[i])
--- a/packages/base/source/log.c
+++ b/packages/base/source/log.c
@@ -6,11 +6,11 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Lines of one service and message passed in each period before the rest is counted only. */
+/* Default limit of lines of one service and message per period. */
 #define REPEAT_LIMIT 10
 #define REPEAT_PERIOD (10 * FB_SECOND)
 
-/* Distinct messages whose repeats are tracked; the table is cleared at this bound. */
+/* Largest number of distinct messages tracked; a full table is cleared. */
 #define REPEAT_TABLE_MAX 256
 
 typedef struct
@@ -27,9 +27,9 @@
   fb_log_level_t level;
   fb_log_sink_fn_t sink;
   void *user;
-  GHashTable *levels;
-  GHashTable *limits; /* lines in a period, by service */
-  GHashTable *repeats;
+  GHashTable *levels;  /* by service */
+  GHashTable *limits;  /* lines per period, by service */
+  GHashTable *repeats; /* repeat_t by service and message */
 };
 
 static const char *const level_names[] = { "debug", "info", "warning", "error" };
@@ -104,8 +104,8 @@
   return limit ? GPOINTER_TO_UINT (limit) : REPEAT_LIMIT;
 }
 
-/* Counts a line against the limit on repeats; returns whether to write it, and in DROPPED how
- * many were left out before it. */
+/* Counts a line against the limit on repeated messages; returns whether to write it and stores
+ * the number of lines suppressed in the previous period in DROPPED. */
 static bool
 admit_line (fb_log_t *log, const char *service, const char *message, fb_time_t now,
             uint32_t *dropped)
@@ -184,7 +184,7 @@
   fb_stdout_sink_t *output = user;
   struct pollfd ready = { .fd = STDOUT_FILENO, .events = POLLOUT };
 
-  /* A pipe that is ready takes PIPE_BUF bytes at once, which a line stays below. */
+  /* A writable pipe accepts PIPE_BUF bytes without blocking; longer lines are dropped. */
   if (line.len > PIPE_BUF || poll (&ready, 1, 0) != 1 || !(ready.revents & POLLOUT)
       || write (STDOUT_FILENO, line.data, line.len) != (ssize_t)line.len)
     output->dropped++;
--- a/packages/base/source/string.c
+++ b/packages/base/source/string.c
@@ -65,8 +65,8 @@
 int
 fb_compare_names (const fb_name_t *a, const fb_name_t *b)
 {
-  size_t shared = a->len < b->len ? a->len : b->len;
-  int order = memcmp (a->data, b->data, shared);
+  size_t common_len = a->len < b->len ? a->len : b->len;
+  int order = memcmp (a->data, b->data, common_len);
 
   return order != 0 ? order : (int)a->len - (int)b->len;
 }
--- a/packages/base/tests/test-base.c
+++ b/packages/base/tests/test-base.c
@@ -6,14 +6,14 @@
 #include <foxtailrun/base/version.h>
 #include <glib.h>
 
-/* Guards against overflow and stray characters being taken for a number. */
+/* Guards against numbers that overflow or contain other characters being accepted. */
 static void
 test_parse_number (void)
 {
   static const struct
   {
     const char *text;
-    bool good;
+    bool valid;
     uint64_t value;
   } cases[] = {
     { "0", true, 0 },
@@ -28,12 +28,12 @@
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       uint64_t value = 0;
-      g_assert_cmpint (fb_parse_u64 (fb_wrap_text (cases[i].text), &value), ==, cases[i].good);
+      g_assert_cmpint (fb_parse_u64 (fb_wrap_text (cases[i].text), &value), ==, cases[i].valid);
       g_assert_cmpuint (value, ==, cases[i].value);
     }
 }
 
-/* Guards against a name that is cut or not terminated being taken for a whole one. */
+/* Guards against names that are truncated silently or lack the final NUL byte. */
 static void
 test_name_limit (void)
 {
@@ -48,7 +48,7 @@
   g_assert_cmpuint (name.len, ==, 0);
 }
 
-/* Guards against an order in which an older publication overrides a newer one. */
+/* Guards against an order in which an older version overrides a newer one. */
 static void
 test_version_order (void)
 {
@@ -74,7 +74,7 @@
     }
 }
 
-/* Guards against time that moves although a test paused it. */
+/* Guards against a manual clock that advances without fb_advance_clock. */
 static void
 test_manual_clock (void)
 {
@@ -92,14 +92,14 @@
   g_string_append_printf (user, "%s{%s}=%" G_GUINT64_FORMAT ";", name, labels, value);
 }
 
-/* Guards against times that are counted in a bucket below or above their own. */
+/* Guards against durations counted in the wrong bucket. */
 static void
 test_histogram (void)
 {
   static const struct
   {
-    fb_time_t time;
-    const char *bound; /* of the lowest bucket that counts it */
+    fb_time_t duration;
+    const char *bound; /* of the lowest bucket that includes DURATION */
     uint64_t us;
   } cases[] = {
     { -1, "1000", 0 },
@@ -116,7 +116,7 @@
       char *lowest = g_strdup_printf ("x=\"1\",le=\"%s\"", cases[i].bound);
       uint64_t counted = 0;
 
-      fb_observe_time (histogram, cases[i].time);
+      fb_observe_time (histogram, cases[i].duration);
       g_assert_cmpuint (fb_get_counter (fb_find_counter (counters, "t_bucket", lowest)), ==, 1);
       g_assert_cmpuint (
           fb_get_counter (fb_find_counter (counters, "t_bucket", "x=\"1\",le=\"+Inf\"")), ==,
@@ -133,7 +133,7 @@
     }
 }
 
-/* Guards against two counters that share a value, or one name that gets two. */
+/* Guards against counters that share a value and against duplicates of one counter. */
 static void
 test_counters (void)
 {
@@ -155,8 +155,7 @@
   g_string_append_len (user, line.data, (gssize)line.len);
 }
 
-/* Guards against log lines that a value with quotes, newlines or control bytes breaks in two.
- */
+/* Guards against values with quotes, newlines or control bytes that split a log line. */
 static void
 test_log_quoting (void)
 {
@@ -187,7 +186,7 @@
     }
 }
 
-/* Guards against a repeated message that floods the log or is dropped without a trace. */
+/* Guards against repeated messages that flood the log or are suppressed uncounted. */
 static void
 test_log_repeats (void)
 {
@@ -197,13 +196,13 @@
   size_t lines = 0;
 
   for (int i = 0; i < 25; i++)
-    FB_LOG (log, FB_LOG_INFO, "test", "again", FB_NUMBER ("i", i));
+    FB_LOG (log, FB_LOG_INFO, "test", "repeated", FB_NUMBER ("i", i));
   for (const char *at = text->str; (at = strchr (at, '\n')); at++)
     lines++;
   g_assert_cmpuint (lines, ==, 10);
   fb_advance_clock (clock, 10 * FB_SECOND);
   g_string_truncate (text, 0);
-  FB_LOG (log, FB_LOG_INFO, "test", "again", FB_NUMBER ("i", 25));
+  FB_LOG (log, FB_LOG_INFO, "test", "repeated", FB_NUMBER ("i", 25));
   g_assert_nonnull (strstr (text->str, "dropped=15"));
   fb_destroy_log (log);
   g_string_free (text, TRUE);
