--- a/packages/report/source/burn-rate.c
+++ b/packages/report/source/burn-rate.c
@@ -1,4 +1,4 @@
-/* What counts mean: burn rates, alerts and what is left of a budget. */
+/* Burn rates, alerts and remaining budgets, computed from counts. */
 #include <foxtailrun/report/burn.h>
 #include <glib.h>
 
@@ -15,14 +15,15 @@
   [FS_WINDOW_6H] = { "6h", 360 * MINUTE },
 };
 
-/* Pairs of windows, most urgent first. The short window ends an alert soon after the cause. */
+/* Conditions of the alerts, most urgent first. The shorter window ends an alert soon after its
+ * cause has ended. */
 static const struct
 {
   fs_window_t shorter;
   fs_window_t longer;
   double rate;
   fs_alert_t alert;
-} pairs[] = {
+} alert_rules[] = {
   { FS_WINDOW_5M, FS_WINDOW_1H, FS_PAGE_BURN_RATE, FS_ALERT_PAGE },
   { FS_WINDOW_30M, FS_WINDOW_6H, FS_TICKET_BURN_RATE, FS_ALERT_TICKET },
 };
@@ -84,30 +85,29 @@
   return MIN ((double)bad / (double)fs_count_calls (counts) / (1 - ratio), FS_BURN_RATE_MAX);
 }
 
-/* Tolerates the rounding of 1 - ratio, so that a rate at the border raises the alert. */
+/* Tolerates the rounding of 1 - ratio, so that a rate at the threshold raises the alert. */
 static bool
-reaches (const fs_objective_counts_t *reading, fs_window_t window, double rate)
+reaches_burn_rate (const fs_objective_counts_t *counts, fs_window_t window, double rate)
 {
-  return fs_compute_burn_rate (&reading->windows[window], reading->objective.ratio)
+  return fs_compute_burn_rate (&counts->windows[window], counts->objective.ratio)
          >= rate * (1 - 1e-9);
 }
 
 fs_alert_t
-fs_evaluate_alert (const fs_objective_counts_t *reading)
+fs_evaluate_alert (const fs_objective_counts_t *counts)
 {
-  for (size_t i = 0; i < G_N_ELEMENTS (pairs); i++)
-    if (reaches (reading, pairs[i].shorter, pairs[i].rate)
-        && reaches (reading, pairs[i].longer, pairs[i].rate))
-      return pairs[i].alert;
+  for (size_t i = 0; i < G_N_ELEMENTS (alert_rules); i++)
+    if (reaches_burn_rate (counts, alert_rules[i].shorter, alert_rules[i].rate)
+        && reaches_burn_rate (counts, alert_rules[i].longer, alert_rules[i].rate))
+      return alert_rules[i].alert;
   return FS_ALERT_NONE;
 }
 
 double
-fs_compute_budget_left (const fs_objective_counts_t *reading)
+fs_compute_budget_left (const fs_objective_counts_t *counts)
 {
   return 1
-         - fs_compute_burn_rate (&reading->windows[FS_WINDOW_LONGEST],
-                                 reading->objective.ratio);
+         - fs_compute_burn_rate (&counts->windows[FS_WINDOW_LONGEST], counts->objective.ratio);
 }
 
 bool
@@ -123,11 +123,11 @@
   for (int window = 0; window < FS_WINDOW_COUNT; window++)
     {
       fs_counts_t *sum = &into->windows[window];
-      const fs_counts_t *part = &from->windows[window];
+      const fs_counts_t *added = &from->windows[window];
 
       for (int cause = 0; cause < FS_CAUSE_COUNT; cause++)
-        sum->calls[cause] += part->calls[cause];
-      sum->reach_min = MIN (sum->reach_min, part->reach_min);
-      sum->reach_max = MAX (sum->reach_max, part->reach_max);
+        sum->calls[cause] += added->calls[cause];
+      sum->reach_min = MIN (sum->reach_min, added->reach_min);
+      sum->reach_max = MAX (sum->reach_max, added->reach_max);
     }
 }
--- a/packages/report/tests/test-burn.c
+++ b/packages/report/tests/test-burn.c
@@ -1,8 +1,8 @@
-/* Counting, windows, alerts and merging of service-level burn. */
+/* Counting, windows, alerts and merging of calls by objective. */
 #include <foxtailrun/report/burn.h>
 #include <glib.h>
 
-/* On a border of the buckets of every window. */
+/* A bucket boundary of every window. */
 #define START (7200 * FB_SECOND)
 
 #define HEAD                                                                                   \
@@ -31,8 +31,8 @@
   fc_destroy_problems (problems);
 }
 
-/* Guards against calls that leave a window too early or stay too long at a bucket border, and
- * against stale buckets after a long pause. */
+/* Guards against calls that are dropped from a window too early or too late at a bucket
+ * boundary, and against stale buckets after a long time without calls. */
 static void
 test_windows (void)
 {
@@ -57,29 +57,28 @@
     {
       fb_clock_t *clock = fb_create_manual_clock (START);
       fs_burn_t *burn = fs_create_burn (clock);
-      fs_objective_counts_t reading;
+      fs_objective_counts_t counts;
 
       apply_document (burn, HEAD FAST ("50", "0.9"));
       fb_advance_clock (clock, cases[i].counted_s * FB_SECOND);
       fs_count_call (burn, shop, fast, FS_GOOD, 0);
-      /* Three steps, so that buckets are also emptied in part. */
+      /* Three steps, so that the ring is also cleared partially. */
       for (fb_time_t step = 0; step < 3; step++)
         {
           fb_advance_clock (clock, (cases[i].read_s - cases[i].counted_s) * FB_SECOND / 3);
-          g_assert_true (fs_get_objective_counts (burn, 0, &reading));
+          g_assert_true (fs_get_objective_counts (burn, 0, &counts));
         }
       fb_advance_clock (clock, START + cases[i].read_s * FB_SECOND - fb_read_clock (clock));
-      g_assert_true (fs_get_objective_counts (burn, 0, &reading));
+      g_assert_true (fs_get_objective_counts (burn, 0, &counts));
       for (int window = 0; window < FS_WINDOW_COUNT; window++)
-        g_assert_cmpuint (fs_count_calls (&reading.windows[window]), ==,
-                          cases[i].calls[window]);
+        g_assert_cmpuint (fs_count_calls (&counts.windows[window]), ==, cases[i].calls[window]);
       fs_destroy_burn (burn);
       fb_destroy_clock (clock);
     }
 }
 
-/* Guards against windows that claim to reach back before the process or the objective began, or
- * that reach less than their length later. */
+/* Guards against windows that report a time span from before the objective was set, or one that
+ * is shorter than the window afterwards. */
 static void
 test_reach (void)
 {
@@ -101,24 +100,24 @@
     {
       fb_clock_t *clock = fb_create_manual_clock (START);
       fs_burn_t *burn = fs_create_burn (clock);
-      fs_objective_counts_t reading;
+      fs_objective_counts_t counts;
 
       apply_document (burn, HEAD FAST ("50", "0.9"));
       fb_advance_clock (clock, cases[i].after_s * FB_SECOND);
-      g_assert_true (fs_get_objective_counts (burn, 0, &reading));
+      g_assert_true (fs_get_objective_counts (burn, 0, &counts));
       for (int window = 0; window < FS_WINDOW_COUNT; window++)
         {
-          g_assert_cmpint (reading.windows[window].reach_min / FB_SECOND, ==,
+          g_assert_cmpint (counts.windows[window].reach_min / FB_SECOND, ==,
                            cases[i].reach_s[window]);
-          g_assert_cmpint (reading.windows[window].reach_max, ==,
-                           reading.windows[window].reach_min);
+          g_assert_cmpint (counts.windows[window].reach_max, ==,
+                           counts.windows[window].reach_min);
         }
       fs_destroy_burn (burn);
       fb_destroy_clock (clock);
     }
 }
 
-/* Guards against calls under the wrong cause, and against calls without an objective that are
+/* Guards against calls counted under the wrong cause, and against calls without an objective
  * counted under another one. */
 static void
 test_causes (void)
@@ -127,7 +126,7 @@
   {
     const char *rank;
     fs_cause_t cause;
-    fb_time_t taken;
+    fb_time_t duration;
     uint64_t calls[FS_CAUSE_COUNT];
   } cases[] = {
     { "fast", FS_GOOD, 0, { 1, 0, 0, 0, 0 } },
@@ -144,21 +143,22 @@
     {
       fb_clock_t *clock = fb_create_manual_clock (START);
       fs_burn_t *burn = fs_create_burn (clock);
-      fs_objective_counts_t reading;
+      fs_objective_counts_t counts;
 
       apply_document (burn, HEAD FAST ("50", "0.9"));
-      fs_count_call (burn, shop, fb_wrap_text (cases[i].rank), cases[i].cause, cases[i].taken);
-      g_assert_true (fs_get_objective_counts (burn, 0, &reading));
+      fs_count_call (burn, shop, fb_wrap_text (cases[i].rank), cases[i].cause,
+                     cases[i].duration);
+      g_assert_true (fs_get_objective_counts (burn, 0, &counts));
       for (int window = 0; window < FS_WINDOW_COUNT; window++)
         for (int cause = 0; cause < FS_CAUSE_COUNT; cause++)
-          g_assert_cmpuint (reading.windows[window].calls[cause], ==, cases[i].calls[cause]);
+          g_assert_cmpuint (counts.windows[window].calls[cause], ==, cases[i].calls[cause]);
       fs_destroy_burn (burn);
       fb_destroy_clock (clock);
     }
 }
 
-/* Guards against wrong rates and budgets, and against alerts that only one window of a pair
- * supports. Each window has 1,000 calls. */
+/* Guards against wrong rates and budgets, and against alerts raised by only one of their two
+ * windows. Each window has 1,000 calls. */
 static void
 test_alerts (void)
 {
@@ -186,25 +186,26 @@
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      fs_objective_counts_t reading = { .objective.ratio = cases[i].ratio };
+      fs_objective_counts_t counts = { .objective.ratio = cases[i].ratio };
 
       for (int window = 0; window < FS_WINDOW_COUNT; window++)
         {
-          reading.windows[window].calls[FS_GOOD] = 1000 - cases[i].bad[window];
-          reading.windows[window].calls[FS_LATE] = cases[i].bad[window];
+          counts.windows[window].calls[FS_GOOD] = 1000 - cases[i].bad[window];
+          counts.windows[window].calls[FS_LATE] = cases[i].bad[window];
         }
       g_assert_cmpfloat_with_epsilon (
-          fs_compute_burn_rate (&reading.windows[FS_WINDOW_LONGEST], cases[i].ratio),
+          fs_compute_burn_rate (&counts.windows[FS_WINDOW_LONGEST], cases[i].ratio),
           cases[i].rate, 1e-9);
-      g_assert_cmpfloat_with_epsilon (fs_compute_budget_left (&reading), 1 - cases[i].rate,
+      g_assert_cmpfloat_with_epsilon (fs_compute_budget_left (&counts), 1 - cases[i].rate,
                                       1e-9);
-      g_assert_cmpstr (fs_describe_alert (fs_evaluate_alert (&reading)), ==,
+      g_assert_cmpstr (fs_describe_alert (fs_evaluate_alert (&counts)), ==,
                        fs_describe_alert (cases[i].alert));
     }
 }
 
-/* Guards against counts lost or kept wrongly when the configuration changes. One call is
- * counted under the first document, at START, and the objective "fast" is read 100 s later. */
+/* Guards against counts that are lost or retained wrongly when the configuration changes. One
+ * call is counted at START under the first document; the objective "fast" is read 100 s later.
+ */
 static void
 test_changes (void)
 {
@@ -231,7 +232,7 @@
     {
       fb_clock_t *clock = fb_create_manual_clock (START);
       fs_burn_t *burn = fs_create_burn (clock);
-      fs_objective_counts_t reading;
+      fs_objective_counts_t counts;
 
       apply_document (burn, cases[i].documents[0]);
       fs_count_call (burn, shop, fast, FS_GOOD, 0);
@@ -243,29 +244,29 @@
         }
       fb_advance_clock (clock, 80 * FB_SECOND);
       g_assert_cmpuint (fs_count_objectives (burn), ==, cases[i].objectives);
-      g_assert_false (fs_get_objective_counts (burn, cases[i].objectives, &reading));
+      g_assert_false (fs_get_objective_counts (burn, cases[i].objectives, &counts));
       if (cases[i].objectives > 0)
         {
-          g_assert_true (fs_get_objective_counts (burn, cases[i].index, &reading));
-          g_assert_cmpstr (reading.objective.rank.data, ==, "fast");
-          g_assert_cmpfloat (reading.objective.ratio, ==, cases[i].ratio);
-          g_assert_cmpuint (reading.windows[0].calls[FS_GOOD], ==, cases[i].calls);
-          g_assert_cmpint (reading.windows[0].reach_min / FB_SECOND, ==, cases[i].reach_s);
+          g_assert_true (fs_get_objective_counts (burn, cases[i].index, &counts));
+          g_assert_cmpstr (counts.objective.rank.data, ==, "fast");
+          g_assert_cmpfloat (counts.objective.ratio, ==, cases[i].ratio);
+          g_assert_cmpuint (counts.windows[0].calls[FS_GOOD], ==, cases[i].calls);
+          g_assert_cmpint (counts.windows[0].reach_min / FB_SECOND, ==, cases[i].reach_s);
         }
       fs_destroy_burn (burn);
       fb_destroy_clock (clock);
     }
 }
 
-/* Guards against a merge that loses counts or hides the node that reaches back least. */
+/* Guards against a merge that loses counts or the shortest time span of the nodes. */
 static void
 test_merge (void)
 {
   fs_objective_counts_t sum = { .windows[0] = { { 5, 1, 0, 0, 0 }, 10, 10 } };
-  fs_objective_counts_t part = { .windows[0] = { { 2, 0, 3, 0, 4 }, 4, 30 } };
+  fs_objective_counts_t added = { .windows[0] = { { 2, 0, 3, 0, 4 }, 4, 30 } };
   static const uint64_t calls[FS_CAUSE_COUNT] = { 7, 1, 3, 0, 4 };
 
-  fs_merge_objective_counts (&sum, &part);
+  fs_merge_objective_counts (&sum, &added);
   for (int cause = 0; cause < FS_CAUSE_COUNT; cause++)
     g_assert_cmpuint (sum.windows[0].calls[cause], ==, calls[cause]);
   g_assert_cmpint (sum.windows[0].reach_min, ==, 4);
