--- a/packages/foxtailrun/source/cmd-apply.c
+++ b/packages/foxtailrun/source/cmd-apply.c
@@ -242,9 +242,10 @@
       = arg_str1 (NULL, "publish", "FOLDER", "folder that the platform publishes from");
   struct arg_str *node
       = arg_str1 (NULL, "node", "IP:PORT", "administration address of any node");
-  struct arg_int *timeout = arg_int0 (NULL, "timeout", "SECONDS", "how long to wait (30)");
+  struct arg_int *timeout = arg_int0 (
+      NULL, "timeout", "SECONDS", "maximum time to wait until the document is in force (30)");
   struct arg_int *expect
-      = arg_int0 (NULL, "expect", "NODES", "least number of nodes to wait for");
+      = arg_int0 (NULL, "expect", "NODES", "minimum number of nodes to wait for");
   void *table[] = {
     CMD_STANDARD_OPTIONS, file, folder, node, timeout, expect, arg_end (CMD_ARGUMENT_ERRORS_MAX)
   };
--- a/packages/foxtailrun/source/cmd-diff.c
+++ b/packages/foxtailrun/source/cmd-diff.c
@@ -93,4 +93,4 @@
 }
 
 const cmd_command_t cmd_diff
-    = { "diff", "print what document B changes against A, and what is risky", run_diff };
+    = { "diff", "print the changes from document A to B, and their risks", run_diff };
--- a/packages/foxtailrun/source/cmd-explain.c
+++ b/packages/foxtailrun/source/cmd-explain.c
@@ -98,7 +98,7 @@
     fprintf (io->err, "foxtailrun: node %s:%u does not answer\n", address->address.data,
              address->port);
   else if (status != 200 || !response)
-    fprintf (io->err, "foxtailrun: the node refuses to explain: %s\n",
+    fprintf (io->err, "foxtailrun: the node refused the request: %s\n",
              get_text (response, "error"));
   else
     {
--- a/packages/foxtailrun/source/cmd-load.c
+++ b/packages/foxtailrun/source/cmd-load.c
@@ -64,11 +64,11 @@
                   "\"METHOD PATH [customer=NAME] [weight=N] [ticket]\"; ticket repeats a 428");
   struct arg_int *rate = arg_int1 (NULL, "rate", "CALLS/S", "calls offered, at most 10000");
   struct arg_int *duration = arg_int1 (NULL, "duration", "SECONDS", "at most 600");
-  struct arg_int *in_flight
-      = arg_int0 (NULL, "in-flight", "CALLS", "most calls at once (256), at most 900");
-  struct arg_int *timeout
-      = arg_int0 (NULL, "timeout", "MS", "longest wait for data (10000), at most 60000");
-  struct arg_int *seed = arg_int0 (NULL, "seed", "N", "seed of the choice of calls (1)");
+  struct arg_int *in_flight = arg_int0 (NULL, "in-flight", "CALLS",
+                                        "maximum number of calls in flight (256), at most 900");
+  struct arg_int *timeout = arg_int0 (
+      NULL, "timeout", "MS", "timeout for connecting and for each read (10000), at most 60000");
+  struct arg_int *seed = arg_int0 (NULL, "seed", "N", "seed of the random choice of calls (1)");
   struct arg_lit *json = arg_lit0 (NULL, "json", "print JSON");
   void *table[] = { CMD_STANDARD_OPTIONS,
                     entry,
@@ -111,4 +111,4 @@
 }
 
 const cmd_command_t cmd_load
-    = { "load", "offer calls at a fixed rate and report what became of them", run_load };
+    = { "load", "offer calls at a fixed rate and report their outcomes", run_load };
--- a/packages/foxtailrun/source/cmd-report.c
+++ b/packages/foxtailrun/source/cmd-report.c
@@ -105,4 +105,4 @@
 }
 
 const cmd_command_t cmd_report
-    = { "report", "report how fast the objectives' budgets burn", run_report };
+    = { "report", "report the burn rates of the objectives' error budgets", run_report };
--- a/packages/foxtailrun/source/cmd-trace.c
+++ b/packages/foxtailrun/source/cmd-trace.c
@@ -136,10 +136,11 @@
 static int
 run_trace (const cmd_command_t *command, int argc, char **argv, const cmd_io_t *io)
 {
-  struct arg_lit *json = arg_lit0 (NULL, "json", "print one object a line");
+  struct arg_lit *json
+      = arg_lit0 (NULL, "json", "print JSON: one object per log line, then the outcome");
   struct arg_str *id = arg_str1 (NULL, NULL, "ID", "id of the request");
-  struct arg_file *files
-      = arg_filen (NULL, NULL, "FILE", 0, FILES_MAX, "logs of nodes; standard input without");
+  struct arg_file *files = arg_filen (NULL, NULL, "FILE", 0, FILES_MAX,
+                                      "log files of nodes; standard input when none is given");
   void *table[] = { CMD_STANDARD_OPTIONS, json, id, files, arg_end (CMD_ARGUMENT_ERRORS_MAX) };
   int status;
 
@@ -154,4 +155,4 @@
   return status;
 }
 
-const cmd_command_t cmd_trace = { "trace", "show a request's way from logs", run_trace };
+const cmd_command_t cmd_trace = { "trace", "show the log lines of a request", run_trace };
--- a/packages/foxtailrun/source/commands.c
+++ b/packages/foxtailrun/source/commands.c
@@ -27,7 +27,8 @@
       "\n\"foxtailrun COMMAND --help\" describes the arguments of a command.\n"
       "Exit status: 0 on success, 1 on wrong arguments, 2 when a file has problems, 3 when the\n"
       "result cannot be written, 4 when a node does not answer or refuses the request, 5 when a\n"
-      "node refused the document, 6 when the document was not in force everywhere in time.\n");
+      "node refused the document, 6 when the document was not in force on all nodes before the\n"
+      "timeout.\n");
 }
 
 int
