--- a/packages/foxtailrund/source/main.c
+++ b/packages/foxtailrund/source/main.c
@@ -1,4 +1,4 @@
-/* foxtailrund: the node beside a backend server. */
+/* foxtailrund: the daemon that runs a node next to a backend server. */
 #include <argtable2.h>
 #include <foxtailrun/config/settings.h>
 #include <foxtailrun/node/node.h>
@@ -7,8 +7,8 @@
 #include <sodium.h>
 #include <stdio.h>
 
-#define EXIT_BAD_INPUT 2
-#define SETTINGS_MAX (64 * 1024)
+#define EXIT_INVALID_INPUT 2
+#define SETTINGS_BYTES_MAX (64 * 1024)
 
 static void
 print_problems (const fc_problems_t *problems, const char *path)
@@ -21,35 +21,36 @@
     }
 }
 
-/* Reads the settings of a node, or with PLATFORM those that the platform wrote. */
+/* Reads and checks the settings in PATH, which with FROM_PLATFORM are in the format of the
+ * platform; prints the problems. Returns whether they are valid. */
 static bool
-load_settings (const char *path, bool platform, fc_settings_t *settings)
+load_settings (const char *path, bool from_platform, fc_settings_t *settings)
 {
   fc_problems_t *problems = fc_create_problems ();
   uint8_t *data = NULL;
   size_t length = 0;
-  bool good = fc_read_file (path, SETTINGS_MAX, &data, &length, problems) == FB_OK
-              && (platform ? fp_check_settings : fc_check_settings) (
-                     (fb_bytes_t){ data, length }, settings, problems)
-                     == FB_OK;
+  bool is_valid = fc_read_file (path, SETTINGS_BYTES_MAX, &data, &length, problems) == FB_OK
+                  && (from_platform ? fp_check_settings : fc_check_settings) (
+                         (fb_bytes_t){ data, length }, settings, problems)
+                         == FB_OK;
 
   print_problems (problems, path);
   g_free (data);
   fc_destroy_problems (problems);
-  return good;
+  return is_valid;
 }
 
-/* What a reload needs. */
+/* State of the process and input of a reload. */
 typedef struct
 {
   const char *path;
-  bool platform;
+  bool from_platform;
   fc_settings_t settings; /* in force */
   fb_log_t *log;
 } daemon_t;
 
 static bool
-is_same_endpoint (const fc_socket_address_t *a, const fc_socket_address_t *b)
+is_same_socket_address (const fc_socket_address_t *a, const fc_socket_address_t *b)
 {
   return a->port == b->port && fb_equal_name (&a->address, &b->address);
 }
@@ -59,23 +60,24 @@
 {
   return fb_equal_name (&a->address, &b->address) && fb_equal_name (&a->service, &b->service)
          && a->caller_port == b->caller_port && a->call_port == b->call_port
-         && a->ready_port == b->ready_port && is_same_endpoint (&a->backend, &b->backend)
-         && is_same_endpoint (&a->platform, &b->platform);
+         && a->ready_port == b->ready_port && is_same_socket_address (&a->backend, &b->backend)
+         && is_same_socket_address (&a->platform, &b->platform);
 }
 
-/* Reads the settings again and tells whether they are good. Addresses, ports and the backend
- * server cannot change while the process runs. */
+/* Reads the settings again and logs whether they are valid and need a restart: addresses, ports
+ * and the backend server cannot change while the process runs. */
 static void
 reload_settings (void *user)
 {
   daemon_t *node = user;
   fc_settings_t settings;
-  bool good = load_settings (node->path, node->platform, &settings);
+  bool is_valid = load_settings (node->path, node->from_platform, &settings);
 
-  FB_LOG (
-      node->log, good ? FB_LOG_INFO : FB_LOG_ERROR, "node", "settings read again",
-      FB_TEXT ("file", node->path), FB_NUMBER ("good", good),
-      FB_NUMBER ("restart_needed", good && !has_same_addresses (&settings, &node->settings)));
+  FB_LOG (node->log, is_valid ? FB_LOG_INFO : FB_LOG_ERROR, "node",
+          "settings checked on reload", FB_TEXT ("file", node->path),
+          FB_NUMBER ("good", is_valid),
+          FB_NUMBER ("restart_needed",
+                     is_valid && !has_same_addresses (&settings, &node->settings)));
 }
 
 static int
@@ -87,7 +89,7 @@
   fb_log_t *log = fb_create_log (clock, settings->log_format, settings->log_level,
                                  fb_write_stdout, &output);
   fk_kernel_t *kernel = fk_create_kernel (log);
-  int code = EXIT_FAILURE;
+  int status = EXIT_FAILURE;
 
   node->log = log;
   fk_watch_reload (kernel, reload_settings, node);
@@ -97,11 +99,11 @@
       FB_LOG (log, FB_LOG_INFO, "node", "started", FB_TEXT ("id", settings->id.data),
               FB_TEXT ("zone", settings->zone.data));
       fk_run (kernel);
-      code = EXIT_SUCCESS;
+      status = EXIT_SUCCESS;
     }
   fk_destroy_kernel (kernel);
   fb_destroy_clock (clock);
-  return code;
+  return status;
 }
 
 int
@@ -115,19 +117,19 @@
   void *table[] = { help, version, settings_file, end };
   daemon_t node = { 0 };
   int errors = arg_parse (argc, argv, table);
-  int code = EXIT_BAD_INPUT;
+  int status = EXIT_INVALID_INPUT;
 
   if (help->count > 0)
     {
       printf ("Usage: foxtailrund");
       arg_print_syntax (stdout, table, "\n");
       arg_print_glossary (stdout, table, "  %-24s %s\n");
-      code = EXIT_SUCCESS;
+      status = EXIT_SUCCESS;
     }
   else if (version->count > 0)
     {
       printf ("foxtailrund " FOXTAILRUN_VERSION "\n");
-      code = EXIT_SUCCESS;
+      status = EXIT_SUCCESS;
     }
   else if (errors > 0)
     arg_print_errors (stderr, end, "foxtailrund");
@@ -137,11 +139,11 @@
     fprintf (stderr, "foxtailrund: no source of random numbers\n");
   else
     {
-      node.platform = settings_file->count == 0;
-      node.path = node.platform ? fp_find_settings () : settings_file->filename[0];
-      if (load_settings (node.path, node.platform, &node.settings))
-        code = run_node (&node, node.platform ? fp_get_adapter (&node.settings) : NULL);
+      node.from_platform = settings_file->count == 0;
+      node.path = node.from_platform ? fp_find_settings () : settings_file->filename[0];
+      if (load_settings (node.path, node.from_platform, &node.settings))
+        status = run_node (&node, node.from_platform ? fp_get_adapter (&node.settings) : NULL);
     }
   arg_freetable (table, sizeof table / sizeof table[0]);
-  return code;
+  return status;
 }
--- a/packages/foxtailrund/tests/fixture-fleet.c
+++ b/packages/foxtailrund/tests/fixture-fleet.c
@@ -12,31 +12,31 @@
 #define ADMIN_PORT 9000
 #define BACKEND_PORT 9100
 #define PLATFORM_PORT 8500
-#define PLATFORM_HOST 200
-#define POLL_MS 20
-#define IO_TIMEOUT (30 * FB_SECOND)
+#define PLATFORM_HOST_NUMBER 200
+#define POLL_INTERVAL_MS 20
+#define REQUEST_TIMEOUT (30 * FB_SECOND)
 
 struct fleet
 {
   fk_kernel_t *kernel;
   char *folder;
-  char *published;
-  unsigned net[2]; /* second and third byte of the addresses */
+  char *publish_folder;
+  unsigned subnet[2]; /* second and third byte of the IP addresses */
   size_t count;
   GPid platform;
   GPid nodes[FLEET_NODES_MAX + 1];
   GPid backends[FLEET_NODES_MAX + 1];
 };
 
-struct fleet_pending
+struct fleet_pending_call
 {
   fleet_t *fleet;
   fh_client_t *client;
   bool ended;
-  fleet_answer_t answer;
+  fleet_response_t response;
 };
 
-static const char document[]
+static const char base_document[]
     = "[[rank]]\nname = \"urgent\"\norder = 0\ntarget_ms = 500\nshare = 0.5\n"
       "[[rank]]\nname = \"background\"\norder = 1\ntarget_ms = 2000\nshare = 0.1\n"
       "[[service]]\nname = \"storefront\"\nslots = 9\nconnections = 120\n"
@@ -53,13 +53,14 @@
 {
   char text[32];
 
-  g_snprintf (text, sizeof text, "127.%u.%u.%zu", fleet->net[0], fleet->net[1], host);
+  g_snprintf (text, sizeof text, "127.%u.%u.%zu", fleet->subnet[0], fleet->subnet[1], host);
   return fb_make_name (text);
 }
 
-/* Ties a process to the test's own, so that a failed test leaves none behind. */
+/* Has the kernel kill the child when the test process exits, so that a failed test leaves no
+ * processes behind. */
 static void
-follow_parent (gpointer user)
+kill_with_parent (gpointer user)
 {
   prctl (PR_SET_PDEATHSIG, SIGKILL);
 }
@@ -72,7 +73,7 @@
   char *path = g_build_filename (fleet->folder, log, NULL);
   int output = g_open (path, O_CREAT | O_WRONLY | O_APPEND, 0600);
 
-  g_spawn_async_with_fds (NULL, argv, NULL, G_SPAWN_DO_NOT_REAP_CHILD, follow_parent, NULL,
+  g_spawn_async_with_fds (NULL, argv, NULL, G_SPAWN_DO_NOT_REAP_CHILD, kill_with_parent, NULL,
                           &pid, -1, output, output, &error);
   g_assert_no_error (error);
   close (output);
@@ -84,7 +85,7 @@
 write_settings (fleet_t *fleet, size_t number)
 {
   fb_name_t address = make_address (fleet, number);
-  fb_name_t platform = make_address (fleet, PLATFORM_HOST);
+  fb_name_t platform = make_address (fleet, PLATFORM_HOST_NUMBER);
   fb_name_t first = make_address (fleet, 1);
   fb_name_t second = make_address (fleet, 2);
   char *path = g_strdup_printf ("%s/node-%zu.toml", fleet->folder, number);
@@ -96,7 +97,7 @@
       "[admin]\nkey = \"%s\"\n",
       number, number % 2 ? 'a' : 'b', number <= fleet->count / 2 ? "storefront" : "inventory",
       address.data, CALLER_PORT, ADMIN_PORT, address.data, BACKEND_PORT, platform.data,
-      PLATFORM_PORT, first.data, second.data, FLEET_KEY);
+      PLATFORM_PORT, first.data, second.data, FLEET_ADMIN_KEY);
 
   g_assert_true (g_file_set_contents (path, text, -1, NULL));
   g_free (text);
@@ -131,16 +132,16 @@
 static void
 start_platform (fleet_t *fleet)
 {
-  fb_name_t address = make_address (fleet, PLATFORM_HOST);
+  fb_name_t address = make_address (fleet, PLATFORM_HOST_NUMBER);
   char port[8];
-  char *argv[] = { PLATFORM_PATH, address.data, port, fleet->published, NULL };
+  char *argv[] = { PLATFORM_PATH, address.data, port, fleet->publish_folder, NULL };
 
   g_snprintf (port, sizeof port, "%d", PLATFORM_PORT);
   fleet->platform = spawn (fleet, argv, "platform.log");
 }
 
 void
-fleet_pause (fleet_t *fleet, uint64_t ms)
+fleet_run_loop (fleet_t *fleet, uint64_t ms)
 {
   fk_timer_t *timer = fk_create_timeout (fleet->kernel, (fb_time_t)ms * FB_MILLISECOND,
                                          (fk_callback_fn_t)fk_quit, fleet->kernel);
@@ -150,24 +151,24 @@
 }
 
 static gint64
-start_wait (void)
+compute_wait_deadline (void)
 {
-  return g_get_monotonic_time () + (gint64)FLEET_WAIT_S * G_USEC_PER_SEC;
+  return g_get_monotonic_time () + (gint64)FLEET_WAIT_TIMEOUT_S * G_USEC_PER_SEC;
 }
 
-/* Pauses before the next look at a condition; fails the test when it takes too long. */
+/* Waits one poll interval; after DEADLINE prints the logs and fails the test. */
 static void
-wait_more (fleet_t *fleet, gint64 limit, const char *what)
+wait_or_fail (fleet_t *fleet, gint64 deadline, const char *condition)
 {
-  if (g_get_monotonic_time () > limit)
+  if (g_get_monotonic_time () > deadline)
     {
       char *log = g_strdup_printf ("tail -n 8 %s/*.log >&2", fleet->folder);
       if (system (log) != 0)
         g_test_message ("no logs");
       g_free (log);
-      g_error ("waited %d s in vain: %s", FLEET_WAIT_S, what);
+      g_error ("condition not met within %d s: %s", FLEET_WAIT_TIMEOUT_S, condition);
     }
-  fleet_pause (fleet, POLL_MS);
+  fleet_run_loop (fleet, POLL_INTERVAL_MS);
 }
 
 fleet_t *
@@ -178,11 +179,11 @@
   g_assert_cmpuint (nodes, <=, FLEET_NODES_MAX);
   fleet->kernel = fk_create_kernel (NULL);
   fleet->folder = g_dir_make_tmp ("foxtailrun-XXXXXX", NULL);
-  fleet->published = g_build_filename (fleet->folder, "published", NULL);
-  g_mkdir (fleet->published, 0700);
-  /* Addresses by process, so that tests that run side by side do not meet. */
-  fleet->net[0] = 100 + (unsigned)getpid () / 250 % 150;
-  fleet->net[1] = 1 + (unsigned)getpid () % 250;
+  fleet->publish_folder = g_build_filename (fleet->folder, "published", NULL);
+  g_mkdir (fleet->publish_folder, 0700);
+  /* The process id selects the subnet, so that parallel tests use different addresses. */
+  fleet->subnet[0] = 100 + (unsigned)getpid () / 250 % 150;
+  fleet->subnet[1] = 1 + (unsigned)getpid () % 250;
   fleet->count = nodes;
   fleet_publish (fleet, 1, "");
   start_platform (fleet);
@@ -228,16 +229,17 @@
   fk_destroy_kernel (fleet->kernel);
   g_free (command);
   g_free (fleet->folder);
-  g_free (fleet->published);
+  g_free (fleet->publish_folder);
   g_free (fleet);
 }
 
-/* Writes the document under VERSION with EXTRA text at its end to PATH, which it takes over. */
+/* Writes the base document with VERSION and EXTRA text appended to PATH. Returns PATH, which
+ * the caller continues to own. */
 static char *
 write_document (char *path, uint64_t version, const char *extra)
 {
-  char *text
-      = g_strdup_printf ("version = %" G_GUINT64_FORMAT "\n%s%s", version, document, extra);
+  char *text = g_strdup_printf ("version = %" G_GUINT64_FORMAT "\n%s%s", version, base_document,
+                                extra);
 
   g_assert_true (g_file_set_contents (path, text, -1, NULL));
   g_free (text);
@@ -247,8 +249,8 @@
 void
 fleet_publish (fleet_t *fleet, uint64_t version, const char *extra)
 {
-  g_free (write_document (g_build_filename (fleet->published, "config.toml", NULL), version,
-                          extra));
+  g_free (write_document (g_build_filename (fleet->publish_folder, "config.toml", NULL),
+                          version, extra));
 }
 
 char *
@@ -260,7 +262,7 @@
 void
 fleet_publish_hosts (fleet_t *fleet, size_t leaving)
 {
-  char *path = g_build_filename (fleet->published, "hosts.json", NULL);
+  char *path = g_build_filename (fleet->publish_folder, "hosts.json", NULL);
   GString *text = g_string_new ("[");
 
   for (size_t number = 1; number <= fleet->count; number++)
@@ -276,9 +278,9 @@
 }
 
 void
-fleet_set_outage (fleet_t *fleet, bool down)
+fleet_set_platform_outage (fleet_t *fleet, bool down)
 {
-  char *path = g_build_filename (fleet->published, "down", NULL);
+  char *path = g_build_filename (fleet->publish_folder, "down", NULL);
 
   if (down)
     g_assert_true (g_file_set_contents (path, "", 0, NULL));
@@ -302,11 +304,11 @@
 int
 fleet_wait_exit (fleet_t *fleet, size_t number)
 {
-  gint64 limit = start_wait ();
+  gint64 deadline = compute_wait_deadline ();
   int status = 0;
 
   while (waitpid (fleet->nodes[number], &status, WNOHANG) == 0)
-    wait_more (fleet, limit, "end of a node");
+    wait_or_fail (fleet, deadline, "exit of a node");
   fleet->nodes[number] = 0;
   return WIFEXITED (status) ? WEXITSTATUS (status) : 128 + WTERMSIG (status);
 }
@@ -319,58 +321,58 @@
 }
 
 static void
-receive (const fh_response_t *response, void *user)
+receive_response (const fh_response_t *response, void *user)
 {
-  fleet_pending_t *pending = user;
+  fleet_pending_call_t *call = user;
   fb_str_t outcome = fh_find_header (response->headers, response->header_count,
                                      FB_LITERAL ("foxtailrun-outcome"));
   fb_str_t ticket = fh_find_header (response->headers, response->header_count,
                                     FB_LITERAL ("foxtailrun-ticket"));
 
-  pending->ended = true;
-  pending->answer = (fleet_answer_t){
+  call->ended = true;
+  call->response = (fleet_response_t){
     .result = response->result,
     .status = response->status,
     .outcome = fb_copy_text (outcome),
     .ticket = fb_copy_text (ticket),
     .body = fb_copy_text ((fb_str_t){ (const char *)response->body.data, response->body.len })
   };
-  fk_quit (pending->fleet->kernel);
+  fk_quit (call->fleet->kernel);
 }
 
-static fleet_pending_t *
+static fleet_pending_call_t *
 begin_request (fleet_t *fleet, size_t host, uint16_t port, const char *method, const char *path,
                const fh_header_t *header)
 {
   fb_name_t address = make_address (fleet, host);
-  fleet_pending_t *pending = g_new0 (fleet_pending_t, 1);
+  fleet_pending_call_t *call = g_new0 (fleet_pending_call_t, 1);
   fh_client_request_t outgoing = { .method = fb_wrap_text (method),
                                    .path = fb_wrap_text (path),
                                    .header_count = header ? 1 : 0,
                                    .headers = header,
                                    .new_connection = true };
 
-  pending->fleet = fleet;
-  pending->client
-      = fh_create_client (fleet->kernel, &address, port, 1, 4 * 1024 * 1024, IO_TIMEOUT);
-  fh_send_request (pending->client, &outgoing, receive, pending);
-  return pending;
+  call->fleet = fleet;
+  call->client
+      = fh_create_client (fleet->kernel, &address, port, 1, 4 * 1024 * 1024, REQUEST_TIMEOUT);
+  fh_send_request (call->client, &outgoing, receive_response, call);
+  return call;
 }
 
-fleet_answer_t
-fleet_finish_call (fleet_t *fleet, fleet_pending_t *pending)
+fleet_response_t
+fleet_finish_call (fleet_t *fleet, fleet_pending_call_t *call)
 {
-  fleet_answer_t answer;
+  fleet_response_t response;
 
-  while (!pending->ended)
+  while (!call->ended)
     fk_run (fleet->kernel);
-  answer = pending->answer;
-  fh_destroy_client (pending->client);
-  g_free (pending);
-  return answer;
+  response = call->response;
+  fh_destroy_client (call->client);
+  g_free (call);
+  return response;
 }
 
-fleet_pending_t *
+fleet_pending_call_t *
 fleet_begin_call (fleet_t *fleet, size_t number, const char *method, const char *path,
                   const char *ticket)
 {
@@ -379,49 +381,49 @@
   return begin_request (fleet, number, CALLER_PORT, method, path, ticket ? &header : NULL);
 }
 
-fleet_answer_t
+fleet_response_t
 fleet_call (fleet_t *fleet, size_t number, const char *method, const char *path,
             const char *ticket)
 {
   return fleet_finish_call (fleet, fleet_begin_call (fleet, number, method, path, ticket));
 }
 
-fleet_answer_t
-fleet_ask_admin (fleet_t *fleet, size_t number, const char *method, const char *path,
-                 const char *key)
+fleet_response_t
+fleet_request_admin (fleet_t *fleet, size_t number, const char *method, const char *path,
+                     const char *key)
 {
   char *value = g_strdup_printf ("Bearer %s", key ? key : "");
   fh_header_t header = { FB_LITERAL ("authorization"), fb_wrap_text (value) };
-  fleet_answer_t answer = fleet_finish_call (
+  fleet_response_t response = fleet_finish_call (
       fleet, begin_request (fleet, number, ADMIN_PORT, method, path, key ? &header : NULL));
 
   g_free (value);
-  return answer;
+  return response;
 }
 
 void
-fleet_clear_answer (fleet_answer_t *answer)
+fleet_clear_response (fleet_response_t *response)
 {
-  g_free (answer->outcome);
-  g_free (answer->ticket);
-  g_free (answer->body);
+  g_free (response->outcome);
+  g_free (response->ticket);
+  g_free (response->body);
 }
 
-/* Returns the JSON that a node's administration answers, or NULL. */
+/* Returns the JSON of a response of the administration port as a new object, or NULL. */
 static json_t *
-read_admin (fleet_t *fleet, size_t number, const char *path)
+get_admin_json (fleet_t *fleet, size_t number, const char *path)
 {
-  fleet_answer_t answer = fleet_ask_admin (fleet, number, "GET", path, NULL);
-  json_t *object = answer.result == FH_ANSWERED ? json_loads (answer.body, 0, NULL) : NULL;
+  fleet_response_t response = fleet_request_admin (fleet, number, "GET", path, NULL);
+  json_t *object = response.result == FH_ANSWERED ? json_loads (response.body, 0, NULL) : NULL;
 
-  fleet_clear_answer (&answer);
+  fleet_clear_response (&response);
   return object;
 }
 
 uint64_t
-fleet_read_version (fleet_t *fleet, size_t number)
+fleet_get_version (fleet_t *fleet, size_t number)
 {
-  json_t *object = read_admin (fleet, number, "/version");
+  json_t *object = get_admin_json (fleet, number, "/version");
   uint64_t version = (uint64_t)json_integer_value (json_object_get (object, "number"));
 
   json_decref (object);
@@ -431,18 +433,18 @@
 void
 fleet_wait_version (fleet_t *fleet, size_t number, uint64_t version)
 {
-  gint64 limit = start_wait ();
+  gint64 deadline = compute_wait_deadline ();
 
   for (;;)
     {
-      json_t *object = read_admin (fleet, number, "/version");
-      bool good
+      json_t *object = get_admin_json (fleet, number, "/version");
+      bool is_met
           = json_is_true (json_object_get (object, "ready"))
             && (uint64_t)json_integer_value (json_object_get (object, "number")) == version;
       json_decref (object);
-      if (good)
+      if (is_met)
         return;
-      wait_more (fleet, limit, "version in force");
+      wait_or_fail (fleet, deadline, "version in force");
     }
 }
 
@@ -465,16 +467,16 @@
 void
 fleet_wait_state (fleet_t *fleet, size_t number, size_t other, const char *state)
 {
-  gint64 limit = start_wait ();
+  gint64 deadline = compute_wait_deadline ();
 
   for (;;)
     {
-      json_t *object = read_admin (fleet, number, "/members");
-      bool good = has_state (object, other, state);
+      json_t *object = get_admin_json (fleet, number, "/members");
+      bool is_met = has_state (object, other, state);
       json_decref (object);
-      if (good)
+      if (is_met)
         return;
-      wait_more (fleet, limit, state);
+      wait_or_fail (fleet, deadline, state);
     }
 }
 
@@ -486,16 +488,16 @@
 
   for (size_t number = 1; number <= fleet->count; number++)
     {
-      fleet_answer_t answer = fleet_finish_call (
+      fleet_response_t response = fleet_finish_call (
           fleet, begin_request (fleet, number, BACKEND_PORT, "GET", "/standin/runs", NULL));
-      char **lines = g_strsplit (answer.body, "\n", -1);
+      char **lines = g_strsplit (response.body, "\n", -1);
       for (char **at = lines; *at; at++)
         {
           if (g_str_has_prefix (*at, line))
             runs += g_ascii_strtoull (*at + strlen (line), NULL, 10);
         }
       g_strfreev (lines);
-      fleet_clear_answer (&answer);
+      fleet_clear_response (&response);
     }
   g_free (line);
   return runs;
@@ -504,14 +506,14 @@
 void
 fleet_wait_run (fleet_t *fleet, const char *path)
 {
-  gint64 limit = start_wait ();
+  gint64 deadline = compute_wait_deadline ();
 
   while (fleet_count_runs (fleet, path) == 0)
-    wait_more (fleet, limit, "run at a backend server");
+    wait_or_fail (fleet, deadline, "run at a backend server");
 }
 
 char *
-fleet_format_admin (const fleet_t *fleet, size_t number)
+fleet_format_admin_address (const fleet_t *fleet, size_t number)
 {
   fb_name_t address = make_address (fleet, number);
 
@@ -519,7 +521,7 @@
 }
 
 char *
-fleet_format_entry (const fleet_t *fleet, size_t number)
+fleet_format_caller_address (const fleet_t *fleet, size_t number)
 {
   fb_name_t address = make_address (fleet, number);
 
@@ -527,25 +529,25 @@
 }
 
 const char *
-fleet_get_published (const fleet_t *fleet)
+fleet_get_publish_folder (const fleet_t *fleet)
 {
-  return fleet->published;
+  return fleet->publish_folder;
 }
 
 size_t
-fleet_find_owner (const char *ticket)
+fleet_parse_ticket_node (const char *ticket)
 {
   g_assert_true (g_str_has_prefix (ticket, "ftr1-node-"));
   return (size_t)g_ascii_strtoull (ticket + strlen ("ftr1-node-"), NULL, 10);
 }
 
-/* Number of nodes of each case's fleet. */
-static size_t case_nodes;
+/* Number of nodes in the fleet of each case. */
+static size_t case_node_count;
 
 static void
 run_case (const void *data)
 {
-  fleet_t *fleet = fleet_start (case_nodes);
+  fleet_t *fleet = fleet_start (case_node_count);
 
   ((const fleet_case_t *)data)->check (fleet);
   fleet_stop (fleet);
@@ -554,7 +556,7 @@
 int
 fleet_run_cases (int argc, char **argv, const fleet_case_t *cases, size_t count, size_t nodes)
 {
-  case_nodes = nodes;
+  case_node_count = nodes;
   g_test_init (&argc, &argv, NULL);
   for (size_t i = 0; i < count; i++)
     g_test_add_data_func (cases[i].name, &cases[i], run_case);
--- a/packages/foxtailrund/tests/test-process-burn.c
+++ b/packages/foxtailrund/tests/test-process-burn.c
@@ -1,30 +1,30 @@
-/* Service-level burn counted by a real process and served by its administration. */
+/* Service-level burn counted by a real process and reported by its administration port. */
 #include "fixture-fleet.h"
 
 #define NODES 4
-#define ENTRY 1
+#define ENTRY_NODE 1
 
-/* No answer is later than the first target, and a stock check that sleeps always is later than
- * its own. */
-#define PRICES                                                                                 \
+/* Every response meets the first latency target; a stock check that sleeps always misses its
+ * own. */
+#define STOREFRONT_OBJECTIVE                                                                   \
   "[[objective]]\nservice = \"storefront\"\nrank = \"urgent\"\ntarget_ms = 3600000\n"          \
   "ratio = 0.5\n"
-#define STOCK                                                                                  \
+#define INVENTORY_OBJECTIVE                                                                    \
   "[[objective]]\nservice = \"inventory\"\nrank = \"background\"\ntarget_ms = 1\nratio = 0.5\n"
 
-/* Returns the objectives that the entry node reports with the counts of the longest window,
- * such as "storefront good 1 refused 0 late 0 failed 0 unknown 0\n"; free with g_free. */
+/* Returns the objectives of the entry node with the counts of the longest window, such as
+ * "storefront good 1 refused 0 late 0 failed 0 unknown 0\n"; free with g_free. */
 static char *
-read_burn (fleet_t *fleet)
+format_burn_counts (fleet_t *fleet)
 {
   static const char *const causes[] = { "good", "refused", "late", "failed", "unknown" };
-  fleet_answer_t answer = fleet_ask_admin (fleet, ENTRY, "GET", "/burn", NULL);
-  json_t *object = json_loads (answer.body, 0, NULL);
+  fleet_response_t response = fleet_request_admin (fleet, ENTRY_NODE, "GET", "/burn", NULL);
+  json_t *object = json_loads (response.body, 0, NULL);
   GString *text = g_string_new ("");
   json_t *item;
   size_t i;
 
-  g_assert_cmpuint (answer.status, ==, 200);
+  g_assert_cmpuint (response.status, ==, 200);
   json_array_foreach (json_object_get (object, "objectives"), i, item)
   {
     json_t *window = json_array_get (json_object_get (item, "windows"), 3);
@@ -37,12 +37,12 @@
     g_string_append_c (text, '\n');
   }
   json_decref (object);
-  fleet_clear_answer (&answer);
+  fleet_clear_response (&response);
   return g_string_free (text, FALSE);
 }
 
-/* Guards against calls that are not counted or counted under a wrong cause at the entry node,
- * tickets that count as refusals, and objectives that do not follow the configuration. */
+/* Guards against calls that the entry node does not count or counts under the wrong cause,
+ * ticket requests counted as refusals, and objectives that ignore a new configuration. */
 static void
 test_counts (void)
 {
@@ -55,7 +55,7 @@
     const char *burn;
   } steps[] = {
     { 0, NULL, "GET", "/prices", "" },
-    { 2, PRICES STOCK, "GET", "/prices",
+    { 2, STOREFRONT_OBJECTIVE INVENTORY_OBJECTIVE, "GET", "/prices",
       "storefront good 1 refused 0 late 0 failed 0 unknown 0\n"
       "inventory good 0 refused 0 late 0 failed 0 unknown 0\n" },
     { 0, NULL, "GET", "/stock?sleep=50",
@@ -70,8 +70,9 @@
     { 0, NULL, "POST", "/pay?shed=1",
       "storefront good 2 refused 0 late 0 failed 1 unknown 0\n"
       "inventory good 0 refused 0 late 1 failed 0 unknown 0\n" },
-    { 3, STOCK, "GET", "/prices", "inventory good 0 refused 0 late 1 failed 0 unknown 0\n" },
-    { 4, STOCK PRICES, "GET", "/prices",
+    { 3, INVENTORY_OBJECTIVE, "GET", "/prices",
+      "inventory good 0 refused 0 late 1 failed 0 unknown 0\n" },
+    { 4, INVENTORY_OBJECTIVE STOREFRONT_OBJECTIVE, "GET", "/prices",
       "inventory good 0 refused 0 late 1 failed 0 unknown 0\n"
       "storefront good 1 refused 0 late 0 failed 0 unknown 0\n" },
   };
@@ -79,26 +80,26 @@
 
   for (size_t i = 0; i < G_N_ELEMENTS (steps); i++)
     {
-      fleet_answer_t answer;
+      fleet_response_t response;
       char *burn;
 
       if (steps[i].version > 0)
         {
           fleet_publish (fleet, steps[i].version, steps[i].objectives);
-          fleet_wait_version (fleet, ENTRY, steps[i].version);
+          fleet_wait_version (fleet, ENTRY_NODE, steps[i].version);
         }
-      answer = fleet_call (fleet, ENTRY, steps[i].method, steps[i].path, NULL);
-      if (answer.status == 428)
+      response = fleet_call (fleet, ENTRY_NODE, steps[i].method, steps[i].path, NULL);
+      if (response.status == 428)
         {
-          fleet_answer_t repeated
-              = fleet_call (fleet, ENTRY, steps[i].method, steps[i].path, answer.ticket);
+          fleet_response_t repeated
+              = fleet_call (fleet, ENTRY_NODE, steps[i].method, steps[i].path, response.ticket);
 
-          fleet_clear_answer (&answer);
-          answer = repeated;
+          fleet_clear_response (&response);
+          response = repeated;
         }
-      g_test_message ("%s: %u %s", steps[i].path, answer.status, answer.outcome);
-      fleet_clear_answer (&answer);
-      burn = read_burn (fleet);
+      g_test_message ("%s: %u %s", steps[i].path, response.status, response.outcome);
+      fleet_clear_response (&response);
+      burn = format_burn_counts (fleet);
       g_assert_cmpstr (burn, ==, steps[i].burn);
       g_free (burn);
     }
--- a/packages/foxtailrund/tests/test-process-command.c
+++ b/packages/foxtailrund/tests/test-process-command.c
@@ -1,25 +1,24 @@
-/* The operators' command against real nodes: exit codes and what it prints. */
+/* The operators' command against real nodes: exit status and output. */
 #include "fixture-fleet.h"
 #include <string.h>
 #include <sys/wait.h>
 
 #define NODES 6
 
-/* The node that the drain test drains. */
-#define DRAINED 3
+#define DRAINED_NODE 3
 
 #define ARGUMENTS_MAX 24
 
 typedef struct
 {
-  int code;
+  int exit_status;
   char *out;
   char *err;
 } output_t;
 
-/* Runs foxtailrun with the words of ARGUMENTS, in which "@A1" stands for the administration of
- * node 1, "@E1" for its callers' port, "@P" for the published folder, "@F" for FILE, and "_" in
- * a word for a space. */
+/* Runs foxtailrun with the words of ARGUMENTS after replacing "@A1" by the administration
+ * address of node 1, "@E1" by its caller address, "@P" by the published folder, "@F" by FILE,
+ * and "_" in other words by a space. */
 static output_t
 run_command (fleet_t *fleet, const char *arguments, const char *file)
 {
@@ -37,11 +36,11 @@
       size_t number = strlen (word) > 2 ? (size_t)g_ascii_strtoull (word + 2, NULL, 10) : 0;
 
       if (g_str_has_prefix (word, "@A"))
-        argv[i + 1] = fleet_format_admin (fleet, number);
+        argv[i + 1] = fleet_format_admin_address (fleet, number);
       else if (g_str_has_prefix (word, "@E"))
-        argv[i + 1] = fleet_format_entry (fleet, number);
+        argv[i + 1] = fleet_format_caller_address (fleet, number);
       else if (strcmp (word, "@P") == 0)
-        argv[i + 1] = g_strdup (fleet_get_published (fleet));
+        argv[i + 1] = g_strdup (fleet_get_publish_folder (fleet));
       else if (strcmp (word, "@F") == 0)
         argv[i + 1] = g_strdup (file);
       else
@@ -51,8 +50,8 @@
                 &status, &error);
   g_assert_no_error (error);
   g_assert_true (WIFEXITED (status));
-  output.code = WEXITSTATUS (status);
-  g_test_message ("%s: %d\n%s%s", arguments, output.code, output.out, output.err);
+  output.exit_status = WEXITSTATUS (status);
+  g_test_message ("%s: %d\n%s%s", arguments, output.exit_status, output.out, output.err);
   for (size_t i = 0; i < count; i++)
     g_free (argv[i + 1]);
   g_strfreev (words);
@@ -66,34 +65,34 @@
   g_free (output->err);
 }
 
-/* One run of the command; the parts must occur in its output or errors. */
+/* One run of the command; SUBSTRINGS must occur in its output or errors. */
 typedef struct
 {
   const char *arguments;
-  int code;
-  const char *parts[6];
-} case_t;
+  int exit_status;
+  const char *substrings[6];
+} command_case_t;
 
 static void
-check_cases (fleet_t *fleet, const case_t *cases, size_t count, const char *file)
+check_cases (fleet_t *fleet, const command_case_t *cases, size_t count, const char *file)
 {
   for (size_t i = 0; i < count; i++)
     {
       output_t output = run_command (fleet, cases[i].arguments, file);
       char *text = g_strconcat (output.out, output.err, NULL);
 
-      g_assert_cmpint (output.code, ==, cases[i].code);
-      for (size_t j = 0; j < G_N_ELEMENTS (cases[i].parts) && cases[i].parts[j]; j++)
-        if (!strstr (text, cases[i].parts[j]))
-          g_error ("%s: \"%s\" is missing in:\n%s", cases[i].arguments, cases[i].parts[j],
+      g_assert_cmpint (output.exit_status, ==, cases[i].exit_status);
+      for (size_t j = 0; j < G_N_ELEMENTS (cases[i].substrings) && cases[i].substrings[j]; j++)
+        if (!strstr (text, cases[i].substrings[j]))
+          g_error ("%s: \"%s\" is missing in:\n%s", cases[i].arguments, cases[i].substrings[j],
                    text);
       g_free (text);
       clear_output (&output);
     }
 }
 
-/* Guards against an apply that reports success before the version is in force, or publishes
- * what nodes do not take. */
+/* Guards against an apply that reports success before the version is in force, or publishes a
+ * document that nodes refuse. */
 static void
 test_apply (void)
 {
@@ -102,7 +101,7 @@
     const char *name;
     uint64_t version;
     const char *extra;
-    case_t run;
+    command_case_t command;
     uint64_t in_force;
   } cases[] = {
     { "good",
@@ -151,7 +150,7 @@
       char *file = fleet_write_document (fleet, "next.toml", cases[i].version, cases[i].extra);
 
       g_test_message ("%s", cases[i].name);
-      check_cases (fleet, &cases[i].run, 1, file);
+      check_cases (fleet, &cases[i].command, 1, file);
       for (size_t number = 1; number <= NODES; number++)
         fleet_wait_version (fleet, number, cases[i].in_force);
       g_free (file);
@@ -159,12 +158,12 @@
   fleet_stop (fleet);
 }
 
-/* Guards against an explanation or a list that does not say what the nodes do, and a node that
- * does not answer passing for a good one. */
+/* Guards against explanations and lists that differ from the state of the nodes, and against
+ * success when a node does not answer. */
 static void
-test_reads (void)
+test_queries (void)
 {
-  static const case_t cases[] = {
+  static const command_case_t cases[] = {
     { "status --node @A1", 0, { "node-1", "node-6", "alive", "zone-a", "zone-b", "yes" } },
     { "status --node @A1 --json", 0, { "\"number\": 1", "\"ready\": true" } },
     { "status --node @A90", 4, { "does not answer" } },
@@ -208,46 +207,48 @@
   check_cases (fleet, cases, G_N_ELEMENTS (cases), NULL);
   for (size_t i = 0; i < G_N_ELEMENTS (queries); i++)
     {
-      fleet_answer_t answer
-          = fleet_ask_admin (fleet, 1, queries[i].method, queries[i].path, NULL);
+      fleet_response_t response
+          = fleet_request_admin (fleet, 1, queries[i].method, queries[i].path, NULL);
 
       g_test_message ("%s %s", queries[i].method, queries[i].path);
-      g_assert_cmpuint (answer.status, ==, queries[i].status);
-      fleet_clear_answer (&answer);
+      g_assert_cmpuint (response.status, ==, queries[i].status);
+      fleet_clear_response (&response);
     }
   fleet_stop (fleet);
 }
 
-/* Guards against a drain that needs no key, and an explanation that still names a node that
- * leaves as a candidate. */
+/* Guards against a drain without the key, and an explanation that lists a leaving node as a
+ * candidate. */
 static void
 test_drain (void)
 {
-  static const case_t refused[] = {
+  static const command_case_t refused[] = {
     { "drain --node @A3", 4, { "refuses the key" } },
     { "drain --node @A3 --key-file @F", 4, { "refuses the key" } },
     { "drain --node @A3 --key-file /nonexistent", 1, { "cannot read key file" } },
     { "drain --node @A90 --key-file @F", 4, { "does not answer" } },
     { "status --node @A3", 0, { "node-3" } },
   };
-  static const case_t accepted[] = { { "drain --node @A3 --key-file @F", 0, { "draining" } } };
-  static const case_t left[] = { { "explain --node @A1 GET /prices", 0, { "gone" } } };
+  static const command_case_t accepted[]
+      = { { "drain --node @A3 --key-file @F", 0, { "draining" } } };
+  static const command_case_t after_drain[]
+      = { { "explain --node @A1 GET /prices", 0, { "gone" } } };
   fleet_t *fleet = fleet_start (NODES);
   char *file = fleet_write_document (fleet, "key", 1, "");
 
   g_assert_true (g_file_set_contents (file, "wrong-key\n", -1, NULL));
   check_cases (fleet, refused, G_N_ELEMENTS (refused), file);
-  g_assert_true (g_file_set_contents (file, FLEET_KEY "\n", -1, NULL));
+  g_assert_true (g_file_set_contents (file, FLEET_ADMIN_KEY "\n", -1, NULL));
   check_cases (fleet, accepted, G_N_ELEMENTS (accepted), file);
-  fleet_wait_state (fleet, 1, DRAINED, "leaving");
-  check_cases (fleet, left, G_N_ELEMENTS (left), file);
-  g_assert_cmpint (fleet_wait_exit (fleet, DRAINED), ==, 0);
+  fleet_wait_state (fleet, 1, DRAINED_NODE, "leaving");
+  check_cases (fleet, after_drain, G_N_ELEMENTS (after_drain), file);
+  g_assert_cmpint (fleet_wait_exit (fleet, DRAINED_NODE), ==, 0);
   g_free (file);
   fleet_stop (fleet);
 }
 
 static json_int_t
-read_figure (json_t *call, const char *key)
+get_count (json_t *call, const char *key)
 {
   json_t *value = json_object_get (call, key);
 
@@ -255,20 +256,20 @@
   return json_integer_value (value);
 }
 
-/* Guards against a load that offers another number of calls than asked for, loses one in its
- * figures, or has more in flight than its bound. */
+/* Guards against a load that offers a wrong number of calls, reports no outcome for some of
+ * them, or exceeds its limit of calls in flight. */
 static void
 test_load (void)
 {
-  static const char *const ends[]
+  static const char *const outcomes[]
       = { "answered", "not_run", "unknown", "failed", "transport_errors", "not_started" };
   static const struct
   {
     const char *arguments;
     json_int_t offered;
-    json_int_t bound;       /* of calls in flight */
-    const char *end;        /* that calls must have */
-    json_int_t repeats_min; /* with a ticket */
+    json_int_t in_flight_max;      /* calls */
+    const char *outcome;           /* of at least one call */
+    json_int_t ticket_repeats_min; /* calls */
   } cases[] = {
     { "load --json --rate 50 --duration 1 --entry @E1 --entry @E4 --call GET_/prices", 50, 256,
       "answered", 0 },
@@ -293,14 +294,14 @@
       json_t *call = json_array_get (json_object_get (report, "calls"), 0);
       json_int_t sum = 0;
 
-      g_assert_cmpint (output.code, ==, 0);
-      for (size_t end = 0; end < G_N_ELEMENTS (ends); end++)
-        sum += read_figure (call, ends[end]);
-      g_assert_cmpint (read_figure (call, "offered"), ==, cases[i].offered);
+      g_assert_cmpint (output.exit_status, ==, 0);
+      for (size_t outcome = 0; outcome < G_N_ELEMENTS (outcomes); outcome++)
+        sum += get_count (call, outcomes[outcome]);
+      g_assert_cmpint (get_count (call, "offered"), ==, cases[i].offered);
       g_assert_cmpint (sum, ==, cases[i].offered);
-      g_assert_cmpint (read_figure (report, "in_flight_top"), <=, cases[i].bound);
-      g_assert_cmpint (read_figure (call, cases[i].end), >, 0);
-      g_assert_cmpint (read_figure (call, "ticket_repeats"), >=, cases[i].repeats_min);
+      g_assert_cmpint (get_count (report, "in_flight_top"), <=, cases[i].in_flight_max);
+      g_assert_cmpint (get_count (call, cases[i].outcome), >, 0);
+      g_assert_cmpint (get_count (call, "ticket_repeats"), >=, cases[i].ticket_repeats_min);
       json_decref (report);
       clear_output (&output);
     }
@@ -312,7 +313,7 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/process/command/apply", test_apply);
-  g_test_add_func ("/process/command/reads", test_reads);
+  g_test_add_func ("/process/command/reads", test_queries);
   g_test_add_func ("/process/command/drain", test_drain);
   g_test_add_func ("/process/command/load", test_load);
   return g_test_run ();
--- a/packages/foxtailrund/tests/test-process-config.c
+++ b/packages/foxtailrund/tests/test-process-config.c
@@ -1,4 +1,5 @@
-/* Configuration through real processes: outages, stale and bad documents, pauses and herds. */
+/* Configuration through real processes: outages, stale and invalid documents, pauses and
+ * simultaneous restarts. */
 #include "fixture-fleet.h"
 #include <signal.h>
 
@@ -9,23 +10,23 @@
   "[[route]]\nname = \"lost\"\npath = \"/lost\"\nservice = \"missing\"\nrank = \"urgent\"\n"   \
   "timeout_ms = 1000\n"
 
-/* A further route, which tells two documents under one number apart. */
+/* An additional route that distinguishes two documents with the same version number. */
 #define EXTRA_ROUTE                                                                               \
   "[[route]]\nname = \"extra\"\npath = \"/extra\"\nservice = \"storefront\"\nrank = \"urgent\"\n" \
   "timeout_ms = 1000\n"
 
 static void
-wait_all (fleet_t *fleet, uint64_t version)
+wait_version_on_all (fleet_t *fleet, uint64_t version)
 {
   for (size_t number = 1; number <= NODES; number++)
     fleet_wait_version (fleet, number, version);
 }
 
 static void
-assert_all (fleet_t *fleet, uint64_t version)
+assert_version_on_all (fleet_t *fleet, uint64_t version)
 {
   for (size_t number = 1; number <= NODES; number++)
-    g_assert_cmpuint (fleet_read_version (fleet, number), ==, version);
+    g_assert_cmpuint (fleet_get_version (fleet, number), ==, version);
 }
 
 static void
@@ -36,36 +37,37 @@
   fleet_restart (fleet, number);
 }
 
-/* Guards against a node that cannot start, or starts with less, while the source is down. */
+/* Guards against a node that cannot start, or starts with an older version, while the source is
+ * down. */
 static void
 check_outage (fleet_t *fleet)
 {
   fleet_publish (fleet, 2, "");
-  wait_all (fleet, 2);
-  fleet_set_outage (fleet, true);
+  wait_version_on_all (fleet, 2);
+  fleet_set_platform_outage (fleet, true);
   kill_and_restart (fleet, 3);
   fleet_wait_version (fleet, 3, 2);
-  fleet_set_outage (fleet, false);
+  fleet_set_platform_outage (fleet, false);
   fleet_publish (fleet, 3, "");
-  wait_all (fleet, 3);
+  wait_version_on_all (fleet, 3);
 }
 
-/* Guards against an older document from the source that comes into force, on running and on
- * starting nodes. */
+/* Guards against an older document from the source that comes into force on running or starting
+ * nodes. */
 static void
 check_stale_source (fleet_t *fleet)
 {
   fleet_publish (fleet, 3, "");
-  wait_all (fleet, 3);
+  wait_version_on_all (fleet, 3);
   fleet_publish (fleet, 2, "");
   kill_and_restart (fleet, 2);
   fleet_wait_version (fleet, 2, 3);
-  assert_all (fleet, 3);
+  assert_version_on_all (fleet, 3);
   fleet_publish (fleet, 4, "");
-  wait_all (fleet, 4);
+  wait_version_on_all (fleet, 4);
 }
 
-/* Returns whether some node reports a refused document. */
+/* Returns whether any node reports a refused document that names the missing service. */
 static bool
 is_refused (fleet_t *fleet)
 {
@@ -73,59 +75,61 @@
 
   for (size_t number = 1; number <= NODES; number++)
     {
-      fleet_answer_t answer = fleet_ask_admin (fleet, number, "GET", "/version", NULL);
-      refused |= strstr (answer.body, "missing") != NULL;
-      fleet_clear_answer (&answer);
+      fleet_response_t response = fleet_request_admin (fleet, number, "GET", "/version", NULL);
+      refused |= strstr (response.body, "missing") != NULL;
+      fleet_clear_response (&response);
     }
   return refused;
 }
 
-/* Guards against a bad document that is applied, in part or whole, or that blocks the next. */
+/* Guards against an invalid document that is applied, even partly, or that blocks the next one.
+ */
 static void
-check_bad_document (fleet_t *fleet)
+check_invalid_document (fleet_t *fleet)
 {
-  fleet_answer_t answer;
-  gint64 limit = g_get_monotonic_time () + (gint64)FLEET_WAIT_S * G_USEC_PER_SEC;
+  fleet_response_t response;
+  gint64 deadline = g_get_monotonic_time () + (gint64)FLEET_WAIT_TIMEOUT_S * G_USEC_PER_SEC;
 
   fleet_publish (fleet, 2, DANGLING_ROUTE);
   while (!is_refused (fleet))
     {
-      g_assert_cmpint (g_get_monotonic_time (), <, limit);
-      fleet_pause (fleet, 20);
+      g_assert_cmpint (g_get_monotonic_time (), <, deadline);
+      fleet_run_loop (fleet, 20);
     }
-  assert_all (fleet, 1);
-  answer = fleet_call (fleet, 5, "GET", "/lost", NULL);
-  g_assert_cmpuint (answer.status, ==, 404);
-  fleet_clear_answer (&answer);
+  assert_version_on_all (fleet, 1);
+  response = fleet_call (fleet, 5, "GET", "/lost", NULL);
+  g_assert_cmpuint (response.status, ==, 404);
+  fleet_clear_response (&response);
   fleet_publish (fleet, 3, "");
-  wait_all (fleet, 3);
+  wait_version_on_all (fleet, 3);
 }
 
-/* Guards against nodes that keep different documents when two operators publish one number. */
+/* Guards against nodes with different documents in force when two operators publish the same
+ * version number. */
 static void
-check_one_number (fleet_t *fleet)
+check_same_version_number (fleet_t *fleet)
 {
-  gint64 limit = g_get_monotonic_time () + (gint64)FLEET_WAIT_S * G_USEC_PER_SEC;
+  gint64 deadline = g_get_monotonic_time () + (gint64)FLEET_WAIT_TIMEOUT_S * G_USEC_PER_SEC;
 
   fleet_publish (fleet, 2, "");
-  wait_all (fleet, 2);
+  wait_version_on_all (fleet, 2);
   fleet_publish (fleet, 2, EXTRA_ROUTE);
   for (size_t number = 1; number <= NODES;)
     {
-      fleet_answer_t answer = fleet_ask_admin (fleet, number, "GET", "/routes", NULL);
-      bool held = strstr (answer.body, "\"extra\"") != NULL;
-      fleet_clear_answer (&answer);
-      if (held)
+      fleet_response_t response = fleet_request_admin (fleet, number, "GET", "/routes", NULL);
+      bool is_in_force = strstr (response.body, "\"extra\"") != NULL;
+      fleet_clear_response (&response);
+      if (is_in_force)
         {
           number++;
           continue;
         }
-      g_assert_cmpint (g_get_monotonic_time (), <, limit);
-      fleet_pause (fleet, 20);
+      g_assert_cmpint (g_get_monotonic_time (), <, deadline);
+      fleet_run_loop (fleet, 20);
     }
 }
 
-/* Guards against a paused node that goes on with the version it held. */
+/* Guards against a node that stays at its old version after a pause. */
 static void
 check_pause (fleet_t *fleet)
 {
@@ -135,26 +139,26 @@
   for (size_t number = 1; number <= 3; number++)
     fleet_wait_version (fleet, number, 2);
   fleet_signal (fleet, 4, SIGCONT);
-  wait_all (fleet, 2);
+  wait_version_on_all (fleet, 2);
   for (size_t number = 1; number <= NODES; number++)
     fleet_wait_state (fleet, number, 4, "alive");
 }
 
-/* Guards against a fleet that does not come back when all of it restarts at once. */
+/* Guards against a fleet that does not recover when all nodes restart at once. */
 static void
-check_herd (fleet_t *fleet)
+check_restart_of_all_nodes (fleet_t *fleet)
 {
   fleet_publish (fleet, 2, "");
-  wait_all (fleet, 2);
+  wait_version_on_all (fleet, 2);
   for (size_t number = 1; number <= NODES; number++)
     fleet_signal (fleet, number, SIGKILL);
   for (size_t number = 1; number <= NODES; number++)
     fleet_wait_exit (fleet, number);
   for (size_t number = 1; number <= NODES; number++)
     fleet_restart (fleet, number);
-  wait_all (fleet, 2);
+  wait_version_on_all (fleet, 2);
   fleet_publish (fleet, 3, "");
-  wait_all (fleet, 3);
+  wait_version_on_all (fleet, 3);
 }
 
 int
@@ -163,10 +167,10 @@
   static const fleet_case_t cases[] = {
     { "/process/config/outage", check_outage },
     { "/process/config/stale-source", check_stale_source },
-    { "/process/config/bad-document", check_bad_document },
-    { "/process/config/one-number", check_one_number },
+    { "/process/config/bad-document", check_invalid_document },
+    { "/process/config/one-number", check_same_version_number },
     { "/process/config/pause", check_pause },
-    { "/process/config/herd", check_herd },
+    { "/process/config/herd", check_restart_of_all_nodes },
   };
 
   return fleet_run_cases (argc, argv, cases, G_N_ELEMENTS (cases), NODES);
--- a/packages/foxtailrund/tests/test-process-drain.c
+++ b/packages/foxtailrund/tests/test-process-drain.c
@@ -1,66 +1,69 @@
-/* Graceful shutdown and administration of real nodes. */
+/* Drain and administration of real nodes. */
 #include "fixture-fleet.h"
 #include <signal.h>
 #include <stdlib.h>
 
 #define NODES 6
 
-/* Node that is drained; it has a storefront backend server. */
-#define DRAINED 2
+/* A node with a storefront backend server. */
+#define DRAINED_NODE 2
 
-/* Calls kept open during a drain. */
+/* Calls in flight during a drain. */
 #define OPEN_CALLS 24
 
-/* Rounds of the drain under load, more by the environment. */
-#define ROUNDS 2
+/* Rounds of the drain under load; the environment variable ROUNDS replaces it. */
+#define DEFAULT_ROUNDS 2
 
 typedef struct
 {
   fleet_t *fleet;
-  fleet_pending_t *open[OPEN_CALLS];
-  size_t calls;
-} load_t;
+  fleet_pending_call_t *open[OPEN_CALLS];
+  size_t started_count;
+} open_calls_t;
 
 static size_t
 count_rounds (void)
 {
   const char *text = g_getenv ("ROUNDS");
 
-  return text ? (size_t)strtoul (text, NULL, 10) : ROUNDS;
+  return text ? (size_t)strtoul (text, NULL, 10) : DEFAULT_ROUNDS;
 }
 
-/* Replaces one open call by a new one after checking that its answer is whole. Callers' nodes
- * go round all nodes but the drained one, to which callers connect only before its drain. */
+/* Finishes the call in SLOT, checks that its response is complete and starts a new call. The
+ * entry nodes alternate; the drained node is one of them only with USE_DRAINED_NODE, before its
+ * drain. */
 static void
-turn_call (load_t *load, size_t slot, bool everywhere)
+replace_call (open_calls_t *calls, size_t slot, bool use_drained_node)
 {
-  static const size_t entries[] = { 1, 3, 4, 5, 6, DRAINED };
-  size_t entry = entries[load->calls % (everywhere ? 6 : 5)];
+  static const size_t entry_nodes[] = { 1, 3, 4, 5, 6, DRAINED_NODE };
+  size_t entry_node = entry_nodes[calls->started_count % (use_drained_node ? 6 : 5)];
 
-  if (load->open[slot])
+  if (calls->open[slot])
     {
-      fleet_answer_t answer = fleet_finish_call (load->fleet, load->open[slot]);
-      g_assert_cmpint (answer.result, ==, FH_ANSWERED);
-      g_assert_cmpstr (answer.outcome, ==, "answered");
-      g_assert_cmpuint (answer.status, ==, 200);
-      fleet_clear_answer (&answer);
+      fleet_response_t response = fleet_finish_call (calls->fleet, calls->open[slot]);
+      g_assert_cmpint (response.result, ==, FH_ANSWERED);
+      g_assert_cmpstr (response.outcome, ==, "answered");
+      g_assert_cmpuint (response.status, ==, 200);
+      fleet_clear_response (&response);
     }
-  load->open[slot] = fleet_begin_call (load->fleet, entry, "GET", "/prices?sleep=30", NULL);
-  load->calls++;
+  calls->open[slot]
+      = fleet_begin_call (calls->fleet, entry_node, "GET", "/prices?sleep=30", NULL);
+  calls->started_count++;
 }
 
 static void
-finish_calls (load_t *load)
+finish_calls (open_calls_t *calls)
 {
   for (size_t slot = 0; slot < OPEN_CALLS; slot++)
     {
-      fleet_answer_t answer = fleet_finish_call (load->fleet, load->open[slot]);
-      g_assert_cmpstr (answer.outcome, ==, "answered");
-      fleet_clear_answer (&answer);
+      fleet_response_t response = fleet_finish_call (calls->fleet, calls->open[slot]);
+      g_assert_cmpstr (response.outcome, ==, "answered");
+      fleet_clear_response (&response);
     }
 }
 
-/* Guards against requests that a planned stop cuts, on either side of the stopped node. */
+/* Guards against requests that fail because of a drain, at the drained node as entry node or as
+ * instance. */
 static void
 test_drain_under_load (void)
 {
@@ -68,60 +71,60 @@
 
   for (size_t round = 0; round < count_rounds (); round++)
     {
-      load_t load = { .fleet = fleet };
+      open_calls_t calls = { .fleet = fleet };
 
       for (size_t i = 0; i < 4 * OPEN_CALLS; i++)
-        turn_call (&load, i % OPEN_CALLS, true);
-      fleet_signal (fleet, DRAINED, SIGTERM);
+        replace_call (&calls, i % OPEN_CALLS, true);
+      fleet_signal (fleet, DRAINED_NODE, SIGTERM);
       for (size_t i = 0; i < 16 * OPEN_CALLS; i++)
-        turn_call (&load, i % OPEN_CALLS, false);
-      finish_calls (&load);
-      g_assert_cmpint (fleet_wait_exit (fleet, DRAINED), ==, 0);
-      fleet_restart (fleet, DRAINED);
-      fleet_wait_version (fleet, DRAINED, 1);
+        replace_call (&calls, i % OPEN_CALLS, false);
+      finish_calls (&calls);
+      g_assert_cmpint (fleet_wait_exit (fleet, DRAINED_NODE), ==, 0);
+      fleet_restart (fleet, DRAINED_NODE);
+      fleet_wait_version (fleet, DRAINED_NODE, 1);
       for (size_t number = 1; number <= NODES; number++)
-        fleet_wait_state (fleet, number, DRAINED, "alive");
+        fleet_wait_state (fleet, number, DRAINED_NODE, "alive");
     }
   fleet_stop (fleet);
 }
 
-/* Guards against a drain that waits for nothing: a long call in flight must end whole before
- * the exit. */
+/* Guards against a drain that does not wait: a long call in flight must complete before the
+ * exit. */
 static void
 test_drain_waits (void)
 {
   fleet_t *fleet = fleet_start (NODES);
-  fleet_pending_t *pending
-      = fleet_begin_call (fleet, DRAINED, "GET", "/prices?sleep=3800", NULL);
-  fleet_answer_t answer;
+  fleet_pending_call_t *call
+      = fleet_begin_call (fleet, DRAINED_NODE, "GET", "/prices?sleep=3800", NULL);
+  fleet_response_t response;
 
   fleet_wait_run (fleet, "/prices?sleep=3800");
-  fleet_signal (fleet, DRAINED, SIGTERM);
-  answer = fleet_finish_call (fleet, pending);
-  g_assert_cmpstr (answer.outcome, ==, "answered");
-  fleet_clear_answer (&answer);
-  g_assert_cmpint (fleet_wait_exit (fleet, DRAINED), ==, 0);
+  fleet_signal (fleet, DRAINED_NODE, SIGTERM);
+  response = fleet_finish_call (fleet, call);
+  g_assert_cmpstr (response.outcome, ==, "answered");
+  fleet_clear_response (&response);
+  g_assert_cmpint (fleet_wait_exit (fleet, DRAINED_NODE), ==, 0);
   fleet_stop (fleet);
 }
 
-/* Guards against a leaving mark in the host list that is not acted on. */
+/* Guards against a node that does not drain when the host list marks its host as leaving. */
 static void
 test_host_list (void)
 {
   fleet_t *fleet = fleet_start (NODES);
 
-  fleet_publish_hosts (fleet, DRAINED);
+  fleet_publish_hosts (fleet, DRAINED_NODE);
   for (size_t number = 1; number <= NODES; number++)
     {
-      if (number != DRAINED)
-        fleet_wait_state (fleet, number, DRAINED, "leaving");
+      if (number != DRAINED_NODE)
+        fleet_wait_state (fleet, number, DRAINED_NODE, "leaving");
     }
-  g_assert_cmpint (fleet_wait_exit (fleet, DRAINED), ==, 0);
+  g_assert_cmpint (fleet_wait_exit (fleet, DRAINED_NODE), ==, 0);
   fleet_stop (fleet);
 }
 
-/* Guards against an administration that changes something without the key, or breaks on odd
- * requests. */
+/* Guards against administration requests that change state without the key, and wrong responses
+ * to invalid requests. */
 static void
 test_admin (void)
 {
@@ -131,7 +134,7 @@
     const char *path;
     const char *key;
     uint32_t status;
-    const char *part; /* of the body */
+    const char *substring; /* of the body */
   } cases[] = {
     { "GET", "/health", NULL, 200, "ok" },
     { "GET", "/ready", NULL, 200, "\"ready\":true" },
@@ -140,28 +143,28 @@
     { "GET", "/routes", NULL, 200, "/prices" },
     { "GET", "/metrics", NULL, 200, "foxtailrun_source_calls " },
     { "GET", "/nothing", NULL, 404, "unknown path" },
-    { "GET", "/drain", FLEET_KEY, 405, "method" },
+    { "GET", "/drain", FLEET_ADMIN_KEY, 405, "method" },
     { "POST", "/drain", NULL, 401, "key" },
     { "POST", "/drain", "", 401, "key" },
     { "POST", "/drain", "fleet-test-kez", 401, "key" },
     { "POST", "/drain", "fleet-test-key-and-more", 401, "key" },
     { "GET", "/ready", NULL, 200, "\"draining\":false" },
-    { "POST", "/drain", FLEET_KEY, 202, "true" },
+    { "POST", "/drain", FLEET_ADMIN_KEY, 202, "true" },
     { "GET", "/ready", NULL, 503, "\"draining\":true" },
   };
   fleet_t *fleet = fleet_start (NODES);
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      fleet_answer_t answer
-          = fleet_ask_admin (fleet, DRAINED, cases[i].method, cases[i].path, cases[i].key);
-      g_test_message ("%s %s: %u %s", cases[i].method, cases[i].path, answer.status,
-                      answer.body);
-      g_assert_cmpuint (answer.status, ==, cases[i].status);
-      g_assert_nonnull (strstr (answer.body, cases[i].part));
-      fleet_clear_answer (&answer);
+      fleet_response_t response = fleet_request_admin (fleet, DRAINED_NODE, cases[i].method,
+                                                       cases[i].path, cases[i].key);
+      g_test_message ("%s %s: %u %s", cases[i].method, cases[i].path, response.status,
+                      response.body);
+      g_assert_cmpuint (response.status, ==, cases[i].status);
+      g_assert_nonnull (strstr (response.body, cases[i].substring));
+      fleet_clear_response (&response);
     }
-  g_assert_cmpint (fleet_wait_exit (fleet, DRAINED), ==, 0);
+  g_assert_cmpint (fleet_wait_exit (fleet, DRAINED_NODE), ==, 0);
   fleet_stop (fleet);
 }
 
--- a/packages/foxtailrund/tests/test-process-once.c
+++ b/packages/foxtailrund/tests/test-process-once.c
@@ -1,14 +1,14 @@
-/* Payments through real processes: kills, pauses and repeats at each step of a call that runs
- * at most once. */
+/* Payments through real processes: kills, pauses and repeats at each step of an at-most-once
+ * call. */
 #include "fixture-fleet.h"
 #include <signal.h>
 
-/* A fleet of four storefront nodes and four of inventory; callers use the latter as entry. */
+/* Four storefront nodes and four inventory nodes; two of the latter are the entry nodes. */
 #define NODES 8
-#define ENTRY 7
-#define OTHER_ENTRY 8
+#define ENTRY_NODE 7
+#define OTHER_ENTRY_NODE 8
 
-/* Time that the slow payment takes at the backend server. */
+/* Path of a payment that takes 1.5 s at the backend server. */
 #define SLOW_PAYMENT "/pay?sleep=1500&id=%s"
 
 typedef struct
@@ -16,35 +16,35 @@
   fleet_t *fleet;
   char *path;
   char *ticket;
-  size_t owner;
+  size_t ticket_node;
 } payment_t;
 
 static payment_t
 request_ticket (fleet_t *fleet, const char *id)
 {
   payment_t payment = { .fleet = fleet, .path = g_strdup_printf (SLOW_PAYMENT, id) };
-  fleet_answer_t answer = fleet_call (fleet, ENTRY, "POST", payment.path, NULL);
+  fleet_response_t response = fleet_call (fleet, ENTRY_NODE, "POST", payment.path, NULL);
 
-  g_assert_cmpuint (answer.status, ==, 428);
-  g_assert_cmpstr (answer.outcome, ==, "not-run");
-  payment.ticket = g_strdup (answer.ticket);
-  payment.owner = fleet_find_owner (answer.ticket);
-  fleet_clear_answer (&answer);
+  g_assert_cmpuint (response.status, ==, 428);
+  g_assert_cmpstr (response.outcome, ==, "not-run");
+  payment.ticket = g_strdup (response.ticket);
+  payment.ticket_node = fleet_parse_ticket_node (response.ticket);
+  fleet_clear_response (&response);
   g_assert_cmpuint (fleet_count_runs (fleet, payment.path), ==, 0);
   return payment;
 }
 
-static fleet_answer_t
+static fleet_response_t
 repeat_payment (payment_t *payment, size_t entry)
 {
   return fleet_call (payment->fleet, entry, "POST", payment->path, payment->ticket);
 }
 
 static void
-assert_outcome (fleet_answer_t *answer, const char *outcome)
+assert_outcome (fleet_response_t *response, const char *outcome)
 {
-  g_assert_cmpint (answer->result, ==, FH_ANSWERED);
-  g_assert_cmpstr (answer->outcome, ==, outcome);
+  g_assert_cmpint (response->result, ==, FH_ANSWERED);
+  g_assert_cmpstr (response->outcome, ==, outcome);
 }
 
 static void
@@ -54,150 +54,151 @@
   g_free (payment->ticket);
 }
 
-/* Guards against a repeat through another entry node that runs the payment again. */
+/* Guards against a second run when a payment is repeated through another entry node. */
 static void
 check_repeats (fleet_t *fleet)
 {
   payment_t payment = request_ticket (fleet, "repeat");
-  fleet_pending_t *first
-      = fleet_begin_call (fleet, ENTRY, "POST", payment.path, payment.ticket);
-  fleet_pending_t *second
-      = fleet_begin_call (fleet, OTHER_ENTRY, "POST", payment.path, payment.ticket);
-  fleet_answer_t answers[3]
+  fleet_pending_call_t *first
+      = fleet_begin_call (fleet, ENTRY_NODE, "POST", payment.path, payment.ticket);
+  fleet_pending_call_t *second
+      = fleet_begin_call (fleet, OTHER_ENTRY_NODE, "POST", payment.path, payment.ticket);
+  fleet_response_t responses[3]
       = { fleet_finish_call (fleet, first), fleet_finish_call (fleet, second), { 0 } };
 
-  answers[2] = repeat_payment (&payment, OTHER_ENTRY);
-  for (size_t i = 0; i < G_N_ELEMENTS (answers); i++)
+  responses[2] = repeat_payment (&payment, OTHER_ENTRY_NODE);
+  for (size_t i = 0; i < G_N_ELEMENTS (responses); i++)
     {
-      assert_outcome (&answers[i], "answered");
-      g_assert_cmpstr (answers[i].body, ==, answers[0].body);
+      assert_outcome (&responses[i], "answered");
+      g_assert_cmpstr (responses[i].body, ==, responses[0].body);
     }
-  for (size_t i = 0; i < G_N_ELEMENTS (answers); i++)
-    fleet_clear_answer (&answers[i]);
+  for (size_t i = 0; i < G_N_ELEMENTS (responses); i++)
+    fleet_clear_response (&responses[i]);
   g_assert_cmpuint (fleet_count_runs (fleet, payment.path), ==, 1);
   clear_payment (&payment);
 }
 
-/* Guards against "not run" being told, or a second run, when the node that runs a payment is
+/* Guards against the outcome "not run", and a second run, when the node that runs a payment is
  * killed. */
 static void
 check_kill_while_running (fleet_t *fleet)
 {
   payment_t payment = request_ticket (fleet, "kill");
-  fleet_pending_t *pending
-      = fleet_begin_call (fleet, ENTRY, "POST", payment.path, payment.ticket);
-  fleet_answer_t answer;
+  fleet_pending_call_t *call
+      = fleet_begin_call (fleet, ENTRY_NODE, "POST", payment.path, payment.ticket);
+  fleet_response_t response;
 
   fleet_wait_run (fleet, payment.path);
-  fleet_signal (fleet, payment.owner, SIGKILL);
-  answer = fleet_finish_call (fleet, pending);
-  assert_outcome (&answer, "unknown");
-  fleet_clear_answer (&answer);
-  g_assert_cmpint (fleet_wait_exit (fleet, payment.owner), ==, 128 + SIGKILL);
-  answer = repeat_payment (&payment, OTHER_ENTRY);
-  assert_outcome (&answer, "unknown");
-  fleet_clear_answer (&answer);
-  fleet_restart (fleet, payment.owner);
-  fleet_wait_version (fleet, payment.owner, 1);
-  fleet_wait_state (fleet, OTHER_ENTRY, payment.owner, "alive");
-  answer = repeat_payment (&payment, OTHER_ENTRY);
-  assert_outcome (&answer, "unknown");
-  fleet_clear_answer (&answer);
+  fleet_signal (fleet, payment.ticket_node, SIGKILL);
+  response = fleet_finish_call (fleet, call);
+  assert_outcome (&response, "unknown");
+  fleet_clear_response (&response);
+  g_assert_cmpint (fleet_wait_exit (fleet, payment.ticket_node), ==, 128 + SIGKILL);
+  response = repeat_payment (&payment, OTHER_ENTRY_NODE);
+  assert_outcome (&response, "unknown");
+  fleet_clear_response (&response);
+  fleet_restart (fleet, payment.ticket_node);
+  fleet_wait_version (fleet, payment.ticket_node, 1);
+  fleet_wait_state (fleet, OTHER_ENTRY_NODE, payment.ticket_node, "alive");
+  response = repeat_payment (&payment, OTHER_ENTRY_NODE);
+  assert_outcome (&response, "unknown");
+  fleet_clear_response (&response);
   g_assert_cmpuint (fleet_count_runs (fleet, payment.path), ==, 1);
   clear_payment (&payment);
 }
 
-/* Guards against a ticket of a dead process that runs on its successor, or "not run" told for
- * it. */
+/* Guards against running a ticket of a killed process on the restarted node, and against the
+ * outcome "not run" for it. */
 static void
 check_kill_before_use (fleet_t *fleet)
 {
   payment_t payment = request_ticket (fleet, "early");
-  fleet_answer_t answer;
-
-  fleet_signal (fleet, payment.owner, SIGKILL);
-  fleet_wait_exit (fleet, payment.owner);
-  fleet_restart (fleet, payment.owner);
-  fleet_wait_version (fleet, payment.owner, 1);
-  fleet_wait_state (fleet, ENTRY, payment.owner, "alive");
-  answer = repeat_payment (&payment, ENTRY);
-  assert_outcome (&answer, "unknown");
-  fleet_clear_answer (&answer);
+  fleet_response_t response;
+
+  fleet_signal (fleet, payment.ticket_node, SIGKILL);
+  fleet_wait_exit (fleet, payment.ticket_node);
+  fleet_restart (fleet, payment.ticket_node);
+  fleet_wait_version (fleet, payment.ticket_node, 1);
+  fleet_wait_state (fleet, ENTRY_NODE, payment.ticket_node, "alive");
+  response = repeat_payment (&payment, ENTRY_NODE);
+  assert_outcome (&response, "unknown");
+  fleet_clear_response (&response);
   g_assert_cmpuint (fleet_count_runs (fleet, payment.path), ==, 0);
   clear_payment (&payment);
 }
 
-/* Guards against a second run, or a lost answer, when the node that runs a payment is paused
- * past the deadline. */
+/* Guards against a second run, and a lost response, when the node that runs a payment is paused
+ * until after the deadline. */
 static void
 check_pause_while_running (fleet_t *fleet)
 {
   payment_t payment = request_ticket (fleet, "pause");
-  fleet_pending_t *pending
-      = fleet_begin_call (fleet, ENTRY, "POST", payment.path, payment.ticket);
-  fleet_answer_t answer;
+  fleet_pending_call_t *call
+      = fleet_begin_call (fleet, ENTRY_NODE, "POST", payment.path, payment.ticket);
+  fleet_response_t response;
 
   fleet_wait_run (fleet, payment.path);
-  fleet_signal (fleet, payment.owner, SIGSTOP);
-  answer = fleet_finish_call (fleet, pending);
-  assert_outcome (&answer, "unknown");
-  fleet_clear_answer (&answer);
-  fleet_signal (fleet, payment.owner, SIGCONT);
-  fleet_wait_version (fleet, payment.owner, 1);
-  fleet_wait_state (fleet, OTHER_ENTRY, payment.owner, "alive");
-  answer = repeat_payment (&payment, OTHER_ENTRY);
-  assert_outcome (&answer, "answered");
-  fleet_clear_answer (&answer);
+  fleet_signal (fleet, payment.ticket_node, SIGSTOP);
+  response = fleet_finish_call (fleet, call);
+  assert_outcome (&response, "unknown");
+  fleet_clear_response (&response);
+  fleet_signal (fleet, payment.ticket_node, SIGCONT);
+  fleet_wait_version (fleet, payment.ticket_node, 1);
+  fleet_wait_state (fleet, OTHER_ENTRY_NODE, payment.ticket_node, "alive");
+  response = repeat_payment (&payment, OTHER_ENTRY_NODE);
+  assert_outcome (&response, "answered");
+  fleet_clear_response (&response);
   g_assert_cmpuint (fleet_count_runs (fleet, payment.path), ==, 1);
   clear_payment (&payment);
 }
 
-/* Guards against "not run" told for a payment whose entry node is killed while it runs. */
+/* Guards against the outcome "not run" for a payment whose entry node is killed while it runs.
+ */
 static void
 check_kill_entry (fleet_t *fleet)
 {
   payment_t payment = request_ticket (fleet, "entry");
-  fleet_pending_t *pending
-      = fleet_begin_call (fleet, ENTRY, "POST", payment.path, payment.ticket);
-  fleet_answer_t answer;
+  fleet_pending_call_t *call
+      = fleet_begin_call (fleet, ENTRY_NODE, "POST", payment.path, payment.ticket);
+  fleet_response_t response;
 
   fleet_wait_run (fleet, payment.path);
-  fleet_signal (fleet, ENTRY, SIGKILL);
-  answer = fleet_finish_call (fleet, pending);
-  g_assert_cmpint (answer.result, !=, FH_ANSWERED);
-  fleet_clear_answer (&answer);
-  answer = repeat_payment (&payment, OTHER_ENTRY);
-  assert_outcome (&answer, "answered");
-  fleet_clear_answer (&answer);
+  fleet_signal (fleet, ENTRY_NODE, SIGKILL);
+  response = fleet_finish_call (fleet, call);
+  g_assert_cmpint (response.result, !=, FH_ANSWERED);
+  fleet_clear_response (&response);
+  response = repeat_payment (&payment, OTHER_ENTRY_NODE);
+  assert_outcome (&response, "answered");
+  fleet_clear_response (&response);
   g_assert_cmpuint (fleet_count_runs (fleet, payment.path), ==, 1);
-  fleet_wait_exit (fleet, ENTRY);
-  fleet_restart (fleet, ENTRY);
-  fleet_wait_version (fleet, ENTRY, 1);
+  fleet_wait_exit (fleet, ENTRY_NODE);
+  fleet_restart (fleet, ENTRY_NODE);
+  fleet_wait_version (fleet, ENTRY_NODE, 1);
   clear_payment (&payment);
 }
 
-/* Guards against a backend server that is down being told as run, and a refused ticket that
- * runs later. */
+/* Guards against a definite outcome while the backend server is stopped, and a second run after
+ * it continues. */
 static void
 check_backend_down (fleet_t *fleet)
 {
   payment_t payment = request_ticket (fleet, "down");
-  fleet_answer_t answer;
-
-  fleet_signal_backend (fleet, payment.owner, SIGSTOP);
-  answer = repeat_payment (&payment, ENTRY);
-  assert_outcome (&answer, "unknown");
-  fleet_clear_answer (&answer);
-  fleet_signal_backend (fleet, payment.owner, SIGCONT);
-  answer = repeat_payment (&payment, OTHER_ENTRY);
-  g_assert_cmpstr (answer.outcome, !=, "not-run");
-  fleet_clear_answer (&answer);
+  fleet_response_t response;
+
+  fleet_signal_backend (fleet, payment.ticket_node, SIGSTOP);
+  response = repeat_payment (&payment, ENTRY_NODE);
+  assert_outcome (&response, "unknown");
+  fleet_clear_response (&response);
+  fleet_signal_backend (fleet, payment.ticket_node, SIGCONT);
+  response = repeat_payment (&payment, OTHER_ENTRY_NODE);
+  g_assert_cmpstr (response.outcome, !=, "not-run");
+  fleet_clear_response (&response);
   g_assert_cmpuint (fleet_count_runs (fleet, payment.path), <=, 1);
   clear_payment (&payment);
 }
 
-/* Guards against requests that reach a run-once route under another name, and against "not run"
- * told for a ticket by a node that cannot know. */
+/* Guards against requests that reach an at-most-once route by an equivalent path, and against
+ * the outcome "not run" for a ticket from a node that cannot know it. */
 static void
 check_requests (fleet_t *fleet)
 {
@@ -226,13 +227,13 @@
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      fleet_answer_t answer
-          = fleet_call (fleet, ENTRY, cases[i].method, cases[i].path, cases[i].ticket);
-      g_test_message ("%s %s: %u %s %s", cases[i].method, cases[i].path, answer.status,
-                      answer.outcome, answer.body);
-      g_assert_cmpuint (answer.status, ==, cases[i].status);
-      g_assert_cmpstr (answer.outcome, ==, cases[i].outcome);
-      fleet_clear_answer (&answer);
+      fleet_response_t response
+          = fleet_call (fleet, ENTRY_NODE, cases[i].method, cases[i].path, cases[i].ticket);
+      g_test_message ("%s %s: %u %s %s", cases[i].method, cases[i].path, response.status,
+                      response.outcome, response.body);
+      g_assert_cmpuint (response.status, ==, cases[i].status);
+      g_assert_cmpstr (response.outcome, ==, cases[i].outcome);
+      fleet_clear_response (&response);
     }
 }
 
