--- a/standins/fleet/fleet-host.c
+++ b/standins/fleet/fleet-host.c
@@ -1,11 +1,11 @@
-/* The processes: hooks of the node, starts, ends and pauses, and the invariants. */
+/* The process of a host: hooks of its node, start, end and pause, and the invariants. */
 #include "fleet-state.h"
 #include <foxtailrun/base/invariant.h>
 #include <foxtailrun/config/delta.h>
 #include <string.h>
 
-#define HOSTS_PERIOD (30 * FB_SECOND)
-#define TICK_STEPS 10
+#define HOST_LIST_INTERVAL (30 * FB_SECOND)
+#define STEPS_PER_TICK 10
 
 static void
 send_datagram (const fb_name_t *address, uint16_t port, fb_bytes_t datagram, void *user)
@@ -14,7 +14,7 @@
 }
 
 static void
-hear_version (const fw_member_t *sender, const fb_version_t *version, void *user)
+handle_version (const fw_member_t *sender, const fb_version_t *version, void *user)
 {
   sf_host_t *host = user;
 
@@ -23,7 +23,7 @@
 }
 
 static void
-hear_list (const fw_member_t *peer, void *user)
+handle_divergence (const fw_member_t *peer, void *user)
 {
   sf_host_t *host = user;
 
@@ -32,7 +32,7 @@
 }
 
 static uint8_t *
-spoil_document (sf_host_t *host, fw_control_t *message)
+corrupt_document (sf_host_t *host, fw_control_t *message)
 {
   fb_bytes_t document = fc_get_document (fd_get_snapshot (host->node));
   uint8_t *changed;
@@ -44,7 +44,7 @@
       return NULL;
     }
   changed = g_memdup2 (document.data, document.len);
-  changed[document.len - 2]++; /* the last digit: "retries = 2" */
+  changed[document.len - 2]++; /* the last digit: "retries = 1" becomes 2 */
   memset (&message->base_digest, 0, sizeof message->base_digest);
   frame = fc_encode_delta ((fb_bytes_t){ NULL, 0 }, (fb_bytes_t){ changed, document.len },
                            &message->payload.len);
@@ -57,18 +57,19 @@
 send_control (const fw_member_t *to, const fw_control_t *message, void *user)
 {
   sf_host_t *host = user;
-  fw_control_t sent = *message;
+  fw_control_t outgoing = *message;
   uint8_t *payload = NULL;
   uint8_t *bytes;
   size_t length;
 
-  /* Not ready, but says so: callers would be sent to a node that has not caught up. */
+  /* Guards against a node that announces readiness too early: it would get calls with an
+   * outdated configuration. */
   if (message->kind == FW_SUMMARY && message->ready)
     FB_INVARIANT (host->ready && fd_is_ready (host->node));
   if (message->kind == FW_DOCUMENT && message->payload.len > 0
       && g_rand_double (host->fleet->random) < host->fleet->link.corruption)
-    payload = spoil_document (host, &sent);
-  bytes = fw_encode_control (&sent, &length);
+    payload = corrupt_document (host, &outgoing);
+  bytes = fw_encode_control (&outgoing, &length);
   sf_transmit (host, to->control_port, SF_CONTROL, (fb_bytes_t){ bytes, length });
   g_free (bytes);
   g_free (payload);
@@ -78,17 +79,17 @@
 call_source (uint64_t index, void *user)
 {
   sf_host_t *host = user;
-  sf_event_t *event = sf_schedule_event (host, SF_CALL, (fb_bytes_t){ NULL, 0 });
+  sf_event_t *event = sf_schedule_event (host, SF_SOURCE_READ, (fb_bytes_t){ NULL, 0 });
 
   FB_INVARIANT (!host->watch.waiting);
   event->index = index;
-  host->watch.called_at = fb_read_clock (host->fleet->clock);
+  host->watch.requested_at = fb_read_clock (host->fleet->clock);
   host->source_calls++;
   host->fleet->source.calls++;
 }
 
 char *
-sf_describe_digest (const fb_digest_t *digest)
+sf_format_digest (const fb_digest_t *digest)
 {
   char *text = g_malloc (FB_DIGEST_HEX_LEN + 1);
 
@@ -97,9 +98,9 @@
 }
 
 static bool
-is_listed (GHashTable *table, const fb_digest_t *digest)
+contains_digest (GHashTable *table, const fb_digest_t *digest)
 {
-  char *text = sf_describe_digest (digest);
+  char *text = sf_format_digest (digest);
   bool listed = g_hash_table_contains (table, text);
 
   g_free (text);
@@ -114,16 +115,16 @@
 
   FB_INVARIANT (fb_compare_digests (&digest, &version->digest) == 0);
   FB_INVARIANT (fc_get_version_number (snapshot) == version->number);
-  FB_INVARIANT (is_listed (host->fleet->valid, &digest));
-  FB_INVARIANT (fb_compare_versions (version, &host->highest) > 0);
-  host->reached_at = fb_read_clock (host->fleet->clock);
+  FB_INVARIANT (contains_digest (host->fleet->valid, &digest));
+  FB_INVARIANT (fb_compare_versions (version, &host->last_version) > 0);
+  host->applied_at = fb_read_clock (host->fleet->clock);
 }
 
 static void
 set_ready (bool ready, void *user)
 {
   sf_host_t *host = user;
-  fb_time_t waited = fb_read_clock (host->fleet->clock) - host->joining_at;
+  fb_time_t join_time = fb_read_clock (host->fleet->clock) - host->join_started_at;
 
   FB_INVARIANT (ready != host->ready);
   host->ready = ready;
@@ -131,18 +132,18 @@
     return;
   FB_INVARIANT (fd_get_snapshot (host->node) != NULL);
   FB_INVARIANT (host->summaries_received + host->source_values > 0);
-  if (waited < 3 * FB_SECOND)
+  if (join_time < 3 * FB_SECOND)
     FB_INVARIANT (host->summaries_received > 0 && host->source_values > 0);
 }
 
 static void
-note_refusal (const fb_version_t *version, const fc_problems_t *problems, void *user)
+record_refusal (const fb_version_t *version, const fc_problems_t *problems, void *user)
 {
   sf_host_t *host = user;
 
   FB_INVARIANT (fc_count_problems (problems) > 0);
-  FB_INVARIANT (!is_listed (host->fleet->valid, &version->digest));
-  g_hash_table_add (host->fleet->refused, sf_describe_digest (&version->digest));
+  FB_INVARIANT (!contains_digest (host->fleet->valid, &version->digest));
+  g_hash_table_add (host->fleet->refused, sf_format_digest (&version->digest));
 }
 
 void
@@ -151,14 +152,15 @@
   sf_host_t *host = &fleet->hosts[index];
   fb_time_t now = fb_read_clock (fleet->clock);
   fm_options_t options = fm_get_default_options ();
-  fm_hooks_t member_hooks = {
-    .send = send_datagram, .summary_received = hear_version, .diverged = hear_list, .user = host
-  };
+  fm_hooks_t member_hooks = { .send = send_datagram,
+                              .summary_received = handle_version,
+                              .diverged = handle_divergence,
+                              .user = host };
   fd_hooks_t hooks
-      = { send_control, call_source, apply_snapshot, set_ready, note_refusal, host };
+      = { send_control, call_source, apply_snapshot, set_ready, record_refusal, host };
 
   g_assert_null (host->table);
-  host->starts++;
+  host->start_count++;
   host->self.incarnation = (uint64_t)(now / FB_MILLISECOND) + 1;
   host->self.state = FW_ALIVE;
   host->counters = fb_create_counters ();
@@ -166,10 +168,10 @@
                                  fleet->clock, host->counters, &member_hooks);
   host->node = fd_create_node (host->table, g_rand_int (fleet->random), fleet->clock,
                                host->counters, NULL, &hooks);
-  memset (&host->highest, 0, sizeof host->highest);
+  memset (&host->last_version, 0, sizeof host->last_version);
   memset (&host->watch, 0, sizeof host->watch);
   host->started_at = now;
-  host->joining_at = now;
+  host->join_started_at = now;
   host->next_host_list_read_at = now;
   host->summaries_received = host->source_values = host->source_calls = 0;
   host->ready = host->paused = false;
@@ -213,7 +215,7 @@
   host->paused = false;
   if (fd_is_ready (host->node) != host->ready)
     {
-      host->joining_at = fb_read_clock (fleet->clock);
+      host->join_started_at = fb_read_clock (fleet->clock);
       host->summaries_received = host->source_values = 0;
     }
   while ((event = g_queue_pop_head (&host->inbox)) != NULL)
@@ -224,13 +226,13 @@
 }
 
 static void
-probe_hosts (sf_host_t *host)
+probe_listed_hosts (sf_host_t *host)
 {
   sf_fleet_t *fleet = host->fleet;
-  bool alone = fm_count_members (host->table, FW_ALIVE) == 1;
+  bool isolated = fm_count_members (host->table, FW_ALIVE) == 1;
   size_t count = fd_is_reader (host->node) ? fleet->count : 3;
 
-  if (!alone && !fd_is_reader (host->node))
+  if (!isolated && !fd_is_reader (host->node))
     return;
   for (size_t i = 0; i < count; i++)
     {
@@ -241,7 +243,7 @@
         fm_probe_address (host->table, &other->address, other->control_port);
     }
   host->next_host_list_read_at
-      = fb_read_clock (fleet->clock) + (alone ? FB_SECOND : HOSTS_PERIOD);
+      = fb_read_clock (fleet->clock) + (isolated ? FB_SECOND : HOST_LIST_INTERVAL);
 }
 
 static void
@@ -251,13 +253,13 @@
   fc_snapshot_t *snapshot = fd_get_snapshot (host->node);
   fb_time_t age = fb_read_clock (host->fleet->clock) - host->started_at;
 
-  FB_INVARIANT (fb_compare_versions (version, &host->highest) >= 0);
+  FB_INVARIANT (fb_compare_versions (version, &host->last_version) >= 0);
   FB_INVARIANT ((snapshot == NULL) == (version->number == 0));
   if (snapshot != NULL)
     FB_INVARIANT (fc_get_version_number (snapshot) == version->number);
   FB_INVARIANT (!fd_is_ready (host->node) || host->ready);
   FB_INVARIANT (host->source_calls <= 3 + (uint64_t)(age / FB_SECOND) + 1);
-  host->highest = *version;
+  host->last_version = *version;
 }
 
 void
@@ -267,15 +269,15 @@
   fb_time_t now = fb_read_clock (host->fleet->clock);
 
   if (host->watch.waiting && (source->down || now >= host->watch.deadline))
-    sf_answer_call (host, source->down ? FB_UNAVAILABLE : FB_TIMEOUT);
+    sf_answer_read (host, source->down ? FB_UNAVAILABLE : FB_TIMEOUT);
   if (host->paused)
     return;
-  if (step % TICK_STEPS == host->index % TICK_STEPS)
+  if (step % STEPS_PER_TICK == host->index % STEPS_PER_TICK)
     {
       fm_tick (host->table);
       fd_tick (host->node);
       if (now >= host->next_host_list_read_at)
-        probe_hosts (host);
+        probe_listed_hosts (host);
     }
   check_host (host);
 }
--- a/standins/fleet/fleet-network.c
+++ b/standins/fleet/fleet-network.c
@@ -1,4 +1,4 @@
-/* The network: delayed, lost and duplicated messages, as events in order of time. */
+/* The simulated network: delays, loses and duplicates messages; a queue of events by time. */
 #include "fleet-state.h"
 
 void
@@ -17,8 +17,8 @@
   const sf_event_t *first = a;
   const sf_event_t *second = b;
 
-  if (first->at != second->at)
-    return first->at < second->at ? -1 : 1;
+  if (first->due_at != second->due_at)
+    return first->due_at < second->due_at ? -1 : 1;
   return first->serial < second->serial ? -1 : 1;
 }
 
@@ -36,11 +36,11 @@
   sf_fleet_t *fleet = host->fleet;
   sf_event_t *event = g_new0 (sf_event_t, 1);
 
-  event->at = fb_read_clock (fleet->clock) + draw_delay (fleet);
-  event->serial = fleet->serial++;
+  event->due_at = fb_read_clock (fleet->clock) + draw_delay (fleet);
+  event->serial = fleet->next_serial++;
   event->kind = kind;
   event->host = host->index;
-  event->starts = host->starts;
+  event->start_count = host->start_count;
   event->bytes = bytes.data == NULL ? NULL : g_bytes_new (bytes.data, bytes.len);
   g_sequence_insert_sorted (fleet->events, event, compare_events, NULL);
   return event;
@@ -81,11 +81,11 @@
       fd_handle_message (host->node, &message);
       fw_clear_control (&message);
       break;
-    case SF_CALL:
-      sf_receive_call (host, event->index);
+    case SF_SOURCE_READ:
+      sf_receive_read (host, event->index);
       break;
-    case SF_VALUE:
-      if (host->watch.called_at >= host->joining_at
+    case SF_SOURCE_VALUE:
+      if (host->watch.requested_at >= host->join_started_at
           && (event->status == FB_OK || event->status == FB_NOT_FOUND))
         host->source_values++;
       fd_handle_source_value (host->node, event->status, event->index, bytes);
@@ -94,7 +94,7 @@
 }
 
 void
-sf_deliver_due (sf_fleet_t *fleet)
+sf_deliver_due_events (sf_fleet_t *fleet)
 {
   while (!g_sequence_is_empty (fleet->events))
     {
@@ -102,15 +102,15 @@
       sf_event_t *event = g_sequence_get (first);
       sf_host_t *host = &fleet->hosts[event->host];
 
-      if (event->at > fb_read_clock (fleet->clock))
+      if (event->due_at > fb_read_clock (fleet->clock))
         return;
       event = g_memdup2 (event, sizeof *event);
       if (event->bytes != NULL)
         g_bytes_ref (event->bytes);
       g_sequence_remove (first);
-      if (host->table != NULL && event->starts == host->starts)
+      if (host->table != NULL && event->start_count == host->start_count)
         {
-          if (host->paused && event->kind != SF_CALL)
+          if (host->paused && event->kind != SF_SOURCE_READ)
             {
               g_queue_push_tail (&host->inbox, event);
               continue;
--- a/standins/fleet/fleet-source.c
+++ b/standins/fleet/fleet-source.c
@@ -1,8 +1,8 @@
-/* The configuration source: one register with an index. */
+/* The simulated configuration source: one register with an index. */
 #include "fleet-state.h"
 
 void
-sf_answer_call (sf_host_t *host, fb_status_t status)
+sf_answer_read (sf_host_t *host, fb_status_t status)
 {
   sf_source_t *source = &host->fleet->source;
   fb_bytes_t bytes = { NULL, 0 };
@@ -24,26 +24,26 @@
         }
     }
   source->bytes += bytes.len;
-  event = sf_schedule_event (host, SF_VALUE, bytes);
+  event = sf_schedule_event (host, SF_SOURCE_VALUE, bytes);
   event->status = status;
   event->index = index;
   host->watch.waiting = false;
 }
 
 void
-sf_receive_call (sf_host_t *host, uint64_t index)
+sf_receive_read (sf_host_t *host, uint64_t index)
 {
   sf_source_t *source = &host->fleet->source;
 
   host->watch.index = index;
   if (source->down)
-    sf_answer_call (host, FB_UNAVAILABLE);
+    sf_answer_read (host, FB_UNAVAILABLE);
   else if (index == 0 || source->visible_index > index)
-    sf_answer_call (host, FB_OK);
+    sf_answer_read (host, FB_OK);
   else
     {
       host->watch.waiting = true;
-      host->watch.deadline = fb_read_clock (host->fleet->clock) + SF_WATCH_LIMIT;
+      host->watch.deadline = fb_read_clock (host->fleet->clock) + SF_WATCH_WAIT_MAX;
     }
 }
 
@@ -56,7 +56,7 @@
 
       if (host->table != NULL && host->watch.waiting
           && (all || fleet->source.visible_index > host->watch.index))
-        sf_answer_call (host, fleet->source.down ? FB_UNAVAILABLE : FB_OK);
+        sf_answer_read (host, fleet->source.down ? FB_UNAVAILABLE : FB_OK);
     }
 }
 
@@ -89,7 +89,7 @@
   bytes.data = g_bytes_get_data (document, &bytes.len);
   digest = fb_compute_digest (bytes);
   if (valid)
-    g_hash_table_add (fleet->valid, sf_describe_digest (&digest));
+    g_hash_table_add (fleet->valid, sf_format_digest (&digest));
   g_ptr_array_add (source->values, document);
   source->index++;
   g_array_append_val (source->indexes, source->index);
--- a/standins/fleet/fleet.c
+++ b/standins/fleet/fleet.c
@@ -1,4 +1,4 @@
-/* The fleet as a whole. */
+/* Life cycle, time and state of the fleet. */
 #include "fleet-state.h"
 #include <stdio.h>
 #include <string.h>
@@ -6,13 +6,13 @@
 void
 sf_run_fleet (sf_fleet_t *fleet, fb_time_t duration)
 {
-  for (fb_time_t done = 0; done < duration; done += SF_STEP)
+  for (fb_time_t elapsed = 0; elapsed < duration; elapsed += SF_STEP)
     {
       uint64_t step;
 
       fb_advance_clock (fleet->clock, SF_STEP);
       step = (uint64_t)(fb_read_clock (fleet->clock) / SF_STEP);
-      sf_deliver_due (fleet);
+      sf_deliver_due_events (fleet);
       for (size_t i = 0; i < fleet->count; i++)
         {
           if (fleet->hosts[i].table != NULL)
@@ -36,7 +36,7 @@
   if (fleet->source.document != NULL)
     {
       fc_problems_t *problems = fc_create_problems ();
-      fb_version_t held = { .revision = fleet->source.index };
+      fb_version_t version = { .revision = fleet->source.index };
       fc_snapshot_t *snapshot;
       fb_bytes_t bytes;
 
@@ -44,10 +44,10 @@
       snapshot = fc_check_document (bytes, problems);
       if (snapshot != NULL)
         {
-          held.number = fc_get_version_number (snapshot);
-          held.digest = fb_compute_digest (bytes);
-          if (fb_compare_versions (&held, &highest) > 0)
-            highest = held;
+          version.number = fc_get_version_number (snapshot);
+          version.digest = fb_compute_digest (bytes);
+          if (fb_compare_versions (&version, &highest) > 0)
+            highest = version;
         }
       fc_release_snapshot (snapshot);
       fc_destroy_problems (problems);
@@ -73,11 +73,11 @@
 sf_print_fleet (const sf_fleet_t *fleet)
 {
   fb_version_t highest = sf_get_highest (fleet);
-  char wanted[FB_VERSION_TEXT_MAX];
+  char highest_text[FB_VERSION_TEXT_MAX];
 
-  fb_format_version (&highest, wanted, sizeof wanted);
-  fprintf (stderr, "at %d ms: highest %s, source index %d, seen %d, down %d\n",
-           (int)(fb_read_clock (fleet->clock) / FB_MILLISECOND), wanted,
+  fb_format_version (&highest, highest_text, sizeof highest_text);
+  fprintf (stderr, "at %d ms: highest %s, source index %d, visible %d, down %d\n",
+           (int)(fb_read_clock (fleet->clock) / FB_MILLISECOND), highest_text,
            (int)fleet->source.index, (int)fleet->source.visible_index, fleet->source.down);
   for (size_t i = 0; i < fleet->count; i++)
     {
@@ -91,7 +91,8 @@
         }
       fb_format_version (fd_get_version (host->node), text, sizeof text);
       fprintf (
-          stderr, "%s %s: %s ready %d reader %d alive %zu side %u calls %d, waits %d for %d\n",
+          stderr,
+          "%s %s: %s ready %d reader %d alive %zu partition %u reads %d, watching %d after %d\n",
           host->self.id.data, host->self.zone.data, text, host->ready,
           fd_is_reader (host->node), fm_count_members (host->table, FW_ALIVE), host->partition,
           (int)host->source_calls, host->watch.waiting, (int)host->watch.index);
--- a/standins/fleet/fleet.h
+++ b/standins/fleet/fleet.h
@@ -1,4 +1,4 @@
-/* A dozen whole nodes on a manual clock, with a fake network and a fake source. */
+/* Up to twelve complete nodes on a manual clock, with a simulated network and source. */
 #ifndef FOXTAILRUN_STANDINS_FLEET_H
 #define FOXTAILRUN_STANDINS_FLEET_H
 
@@ -8,14 +8,15 @@
 #define SF_HOSTS_MAX 12
 #define SF_STEP (10 * FB_MILLISECOND)
 
-/* Properties of every link; the rest of a delay is uniform up to DELAY_MAX. */
+/* Properties of every link. Delays are uniform between DELAY_MIN and DELAY_MAX; the others are
+ * probabilities per message. */
 typedef struct
 {
   fb_time_t delay_min;
   fb_time_t delay_max;
   double loss;
   double duplication;
-  double corruption; /* share of DOCUMENTs with another document or number */
+  double corruption; /* of a DOCUMENT: its content or number is altered */
 } sf_link_t;
 
 typedef struct sf_fleet sf_fleet_t;
@@ -29,41 +30,42 @@
   fb_counters_t *counters;
   fm_table_t *table; /* NULL while no process runs */
   fd_node_t *node;
-  uint64_t starts; /* processes started on this host */
+  uint64_t start_count; /* of processes on this host; numbers the current one */
   bool paused;
-  GQueue inbox;         /* events that arrived during a pause */
-  uint32_t partition;   /* of the partition */
-  fb_version_t highest; /* applied by this process */
-  fb_time_t reached_at;
+  GQueue inbox;              /* events that arrive during a pause */
+  uint32_t partition;        /* hosts reach those with the same number */
+  fb_version_t last_version; /* at the last check of this process */
+  fb_time_t applied_at;
   bool ready;
   fb_time_t started_at;
-  fb_time_t joining_at;             /* start of the process or end of its last pause */
-  uint64_t summaries_received;      /* SUMMARY received since then */
-  uint64_t source_values;           /* answers to source reads started since then */
+  fb_time_t
+      join_started_at; /* start of the process, or end of a pause that lost its readiness */
+  uint64_t summaries_received;      /* SUMMARY messages since then */
+  uint64_t source_values;           /* responses to source reads started since then */
   uint64_t source_calls;            /* of this process */
-  fb_time_t next_host_list_read_at; /* next look at the host list */
+  fb_time_t next_host_list_read_at; /* next probe of the listed hosts */
   uint64_t sent_bytes;
   struct
   {
     bool waiting;
     uint64_t index;
     fb_time_t deadline;
-    fb_time_t called_at;
+    fb_time_t requested_at;
   } watch;
 } sf_host_t;
 
-/* The fake source: one register; reads may be served from an older value. */
+/* The simulated source: one register. Reads may return an older value. */
 typedef struct
 {
   bool down;
-  bool frozen;  /* serves the value it had when it froze */
+  bool frozen;  /* serves the value that it had at the freeze */
   double stale; /* probability that a read without a wait returns an older value */
   uint64_t index;
-  GBytes *document;       /* borrowed from VALUES, as is SEEN */
+  GBytes *document;       /* borrowed from VALUES, as is VISIBLE_DOCUMENT */
   bool valid;             /* of the document */
-  uint64_t visible_index; /* what readers see */
+  uint64_t visible_index; /* served to readers */
   GBytes *visible_document;
-  GPtrArray *values; /* every value since the last reset of the index */
+  GPtrArray *values; /* all values since the last reset of the index */
   GArray *indexes;   /* of the values */
   uint64_t calls;
   uint64_t bytes; /* of the documents returned */
@@ -74,7 +76,7 @@
   fb_clock_t *clock;
   GRand *random;
   GSequence *events;
-  uint64_t serial;
+  uint64_t next_serial;
   sf_link_t link;
   sf_host_t hosts[SF_HOSTS_MAX];
   size_t count;
@@ -85,35 +87,38 @@
   GHashTable *refused;   /* digests in hex of refused documents */
 };
 
-/* Creates a fleet of COUNT nodes in ZONES zones, all started; one region for every two zones.
- */
+/* Creates and starts a fleet of COUNT nodes in ZONES zones; two zones form a region. Freed by
+ * sf_destroy_fleet. */
 sf_fleet_t *sf_create_fleet (uint32_t seed, size_t count, size_t zones);
 void sf_destroy_fleet (sf_fleet_t *fleet);
 
-/* Runs DURATION, checking the invariants after every step. */
+/* Advances the clock by DURATION in steps of SF_STEP and checks the invariants in each. */
 void sf_run_fleet (sf_fleet_t *fleet, fb_time_t duration);
 
-/* End and start of the process of a host; a pause keeps the process and its messages. */
+/* End, start, suspend and resume the process of host INDEX. Messages that arrive during a pause
+ * are queued. */
 void sf_kill_host (sf_fleet_t *fleet, size_t index);
 void sf_start_host (sf_fleet_t *fleet, size_t index);
 void sf_pause_host (sf_fleet_t *fleet, size_t index);
 void sf_resume_host (sf_fleet_t *fleet, size_t index);
 
-/* Returns a valid document; the caller unrefs it. PADDING adds routes to it. */
+/* Returns a valid document with PADDING routes besides the first; SALT determines which route
+ * differs and how. The caller unrefs it. */
 GBytes *sf_make_document (uint64_t number, uint32_t salt, uint32_t padding);
 
-/* Writes a document, taken over, to the source; VALID tells whether nodes may apply it. */
+/* Writes DOCUMENT, whose reference passes to the source. VALID: whether nodes may apply it. */
 void sf_publish_document (sf_fleet_t *fleet, GBytes *document, bool valid);
 
-/* Freezes what readers see, ends an outage or a freeze, and lowers the index. */
+/* Freeze keeps serving the present value, restore ends an outage or a freeze, and reset lowers
+ * the index. */
 void sf_freeze_source (sf_fleet_t *fleet);
 void sf_restore_source (sf_fleet_t *fleet);
 void sf_reset_index (sf_fleet_t *fleet);
 
-/* Returns the highest version that a running node or the source holds. */
+/* Returns the highest valid version at the running nodes and the source. */
 fb_version_t sf_get_highest (const sf_fleet_t *fleet);
 
-/* Returns whether all running nodes are ready and have VERSION in force. */
+/* Returns whether all running nodes are ready and have applied VERSION. */
 bool sf_has_converged (const sf_fleet_t *fleet, const fb_version_t *version);
 
 /* Prints the state of each node to standard error. */
--- a/standins/standin-backend.c
+++ b/standins/standin-backend.c
@@ -1,15 +1,17 @@
-/* Stand-in for a backend server: answers each request after a service time and counts what it
- * ran.
+/* Stand-in for a backend server: answers each request after a service time and counts the
+ * requests that it ran.
  *
  * Usage: standin-backend ADDRESS PORT NAME SLOTS SERVICE_MS
  * The answer echoes the request: "name=NAME path=PATH body=BODY runs=N", N counting the runs of
- * the same path. Query parameters: sleep=MS replaces the service time, shed=1 answers 503. Over
- * SLOTS requests at once it answers 503 and counts an overrun. GET /standin/runs gives one line
- * "PATH COUNT" for each path run, GET /standin/overruns the number of overruns.
+ * the same path. Query parameters: sleep=MS replaces the service time, shed=1 answers 503. With
+ * SLOTS requests in service, a further one gets 503 and counts as an overrun. GET /standin/runs
+ * returns one line "PATH COUNT" for each path run, GET /standin/overruns the number of
+ * overruns.
  *
- * A request with X-Attempt-Id is answered as the users' instances do: the id comes back with a
- * signature, the caller's service is told in X-Seen-Caller, and a request that is not run says
- * so by X-Not-Executed, with 421 when it expects another instance than NAME. */
+ * A request with X-Attempt-Id is answered in the manner of the users' instances: the response
+ * repeats the id, carries a signature and returns the caller's service in X-Seen-Caller. The
+ * response to a request that was not run has X-Not-Executed; its status is 421 if the request
+ * expected an instance other than NAME. */
 #include <foxtailrun/http/server.h>
 #include <glib.h>
 #include <stdio.h>
@@ -24,7 +26,7 @@
   uint32_t in_use;
   uint64_t overruns;
   fb_time_t service_time;
-  GHashTable *runs; /* path to count */
+  GHashTable *runs; /* path to run count */
 } backend_t;
 
 typedef struct
@@ -33,7 +35,7 @@
   fh_request_t *request; /* NULL once answered or cancelled */
   char *path;
   char *body;
-  uint64_t run;
+  uint64_t run_count;
   fk_timer_t *timer;
 } job_t;
 
@@ -63,7 +65,7 @@
               (fb_bytes_t){ (const uint8_t *)text, strlen (text) });
 }
 
-/* Answers a request that is not run. */
+/* Answers a request without running it. */
 static void
 refuse_request (fh_request_t *request, uint32_t status, const char *text)
 {
@@ -97,7 +99,7 @@
   if (job->request)
     {
       text = g_strdup_printf ("name=%s path=%s body=%s runs=%" G_GUINT64_FORMAT "\n",
-                              job->backend->name, job->path, job->body, job->run);
+                              job->backend->name, job->path, job->body, job->run_count);
       respond_text (job->request, 200, text);
       g_free (text);
     }
@@ -107,9 +109,9 @@
   g_free (job);
 }
 
-/* A cancelled run goes on to its end, as work that has begun does. */
+/* Detaches a cancelled request from its job; the job still occupies its slot until it ends. */
 static void
-forget_request (fh_request_t *request, void *user)
+detach_request (fh_request_t *request, void *user)
 {
   job_t *job = user;
 
@@ -161,8 +163,8 @@
   job->request = request;
   job->path = path;
   job->body = g_strndup ((const char *)body.data, body.len);
-  job->run = count_run (backend, path);
-  fh_set_cancelled_handler (request, forget_request, job);
+  job->run_count = count_run (backend, path);
+  fh_set_cancelled_handler (request, detach_request, job);
   job->timer
       = fk_create_timeout (backend->kernel, read_service_time (backend, path), finish_job, job);
 }
--- a/standins/standin-caller.c
+++ b/standins/standin-caller.c
@@ -1,13 +1,21 @@
-/* Stand-in for callers: sends requests to entry nodes and checks that each answer is its own
- * and whole.
+/* Stand-in for callers: sends requests to entry nodes and checks that each response is complete
+ * and belongs to its request.
  *
  * Usage: standin-caller [OPTION=VALUE...] ADDRESS:PORT...
- *   path=/x method=GET body=TEXT customer=NAME   the request; each gets a query "n=NUMBER" of
- * its own count=100 concurrency=4 rate=0               rate in calls/s starts calls at fixed
- * times instead ticket=1      on 428 repeats the request with the ticket duration=S    keeps
- * sending for S seconds instead of counting Requests go round the addresses. Prints one line:
- * counts by outcome, wrong answers, transport errors (refused connections, closed without an
- * answer), and latencies in microseconds. Exits 1 when an answer was wrong. */
+ *
+ * path=/ method=GET body=TEXT customer=NAME: the request; each has a unique query "n=NUMBER".
+ *
+ * count=100 concurrency=4: number of calls, and how many are in flight at once.
+ *
+ * rate=0: if above 0, starts this many calls a second, however many are in flight.
+ *
+ * duration=S: sends for S seconds instead of a number of calls.
+ *
+ * ticket=1: on 428, sends the request again with the ticket of the response.
+ *
+ * Requests are spread over the addresses in turn. Prints one line: counts by outcome, wrong
+ * responses, transport errors (connection refused, or closed without a response) and latencies
+ * in microseconds. Exits with 1 if a response was wrong. */
 #include <foxtailrun/http/client.h>
 #include <glib.h>
 #include <stdio.h>
@@ -16,7 +24,7 @@
 
 #define TARGETS_MAX 64
 #define IO_TIMEOUT (30 * FB_SECOND)
-#define ANSWER_MAX (8 * 1024 * 1024)
+#define RESPONSE_MAX (8 * 1024 * 1024)
 
 typedef struct
 {
@@ -41,8 +49,8 @@
   uint64_t failed;
   uint64_t errors;
   uint64_t wrong;
-  uint64_t repeats;
-  fb_time_t begin;
+  uint64_t ticket_repeats;
+  fb_time_t start_time;
   GArray *latencies;
   fk_timer_t *timer;
 } caller_t;
@@ -53,35 +61,35 @@
   uint64_t number;
   size_t target;
   char *path;
-  fb_time_t begin;
-  bool repeated;
+  fb_time_t start_time;
+  bool sent_with_ticket;
 } exchange_t;
 
 static void start_calls (caller_t *caller);
 static void send_call (exchange_t *exchange, fb_str_t ticket);
 
 static bool
-is_over (const caller_t *caller)
+is_finished (const caller_t *caller)
 {
   if (caller->duration > 0)
-    return fb_read_clock (fk_get_clock (caller->kernel)) - caller->begin
+    return fb_read_clock (fk_get_clock (caller->kernel)) - caller->start_time
            >= (fb_time_t)caller->duration * FB_SECOND;
   return caller->started >= caller->count;
 }
 
-/* Returns whether the answer echoes this very request. */
+/* Returns whether RESPONSE echoes the request of EXCHANGE completely. */
 static bool
-is_own_answer (const exchange_t *exchange, const fh_response_t *response)
+is_matching_response (const exchange_t *exchange, const fh_response_t *response)
 {
   char *expected = g_strdup_printf ("path=%s body=%s runs=", exchange->path,
                                     exchange->caller->body ? exchange->caller->body : "");
-  bool own
+  bool matches
       = g_strstr_len ((const char *)response->body.data, (gssize)response->body.len, expected)
             != NULL
         && response->body.len > 0 && response->body.data[response->body.len - 1] == '\n';
 
   g_free (expected);
-  return own;
+  return matches;
 }
 
 static void
@@ -90,7 +98,7 @@
   caller_t *caller = exchange->caller;
   fb_str_t outcome = fh_find_header (response->headers, response->header_count,
                                      FB_LITERAL ("foxtailrun-outcome"));
-  fb_time_t latency = fb_read_clock (fk_get_clock (caller->kernel)) - exchange->begin;
+  fb_time_t latency = fb_read_clock (fk_get_clock (caller->kernel)) - exchange->start_time;
 
   if (response->result != FH_ANSWERED)
     caller->errors++;
@@ -103,7 +111,7 @@
   else
     {
       caller->answered++;
-      caller->wrong += is_own_answer (exchange, response) ? 0 : 1;
+      caller->wrong += is_matching_response (exchange, response) ? 0 : 1;
       g_array_append_val (caller->latencies, latency);
     }
 }
@@ -118,21 +126,21 @@
 }
 
 static long
-read_percentile (caller_t *caller, double part)
+read_percentile (caller_t *caller, double fraction)
 {
   guint index;
 
   if (caller->latencies->len == 0)
     return 0;
-  index = (guint)(part * (caller->latencies->len - 1));
+  index = (guint)(fraction * (caller->latencies->len - 1));
   return (long)(g_array_index (caller->latencies, fb_time_t, index) / FB_MICROSECOND);
 }
 
 static void
 print_summary (caller_t *caller)
 {
-  double seconds
-      = (double)(fb_read_clock (fk_get_clock (caller->kernel)) - caller->begin) / FB_SECOND;
+  double seconds = (double)(fb_read_clock (fk_get_clock (caller->kernel)) - caller->start_time)
+                   / FB_SECOND;
 
   g_array_sort (caller->latencies, compare_times);
   printf ("sent=%" G_GUINT64_FORMAT " answered=%" G_GUINT64_FORMAT " not_run=%" G_GUINT64_FORMAT
@@ -140,23 +148,24 @@
           " errors=%" G_GUINT64_FORMAT " wrong=%" G_GUINT64_FORMAT
           " ticket_repeats=%" G_GUINT64_FORMAT " p50_us=%ld p99_us=%ld max_us=%ld rate=%.0f\n",
           caller->started, caller->answered, caller->not_run, caller->unknown, caller->failed,
-          caller->errors, caller->wrong, caller->repeats, read_percentile (caller, 0.5),
+          caller->errors, caller->wrong, caller->ticket_repeats, read_percentile (caller, 0.5),
           read_percentile (caller, 0.99), read_percentile (caller, 1.0),
           (double)caller->ended / seconds);
 }
 
 static void
-end_call (const fh_response_t *response, void *user)
+handle_response (const fh_response_t *response, void *user)
 {
   exchange_t *exchange = user;
   caller_t *caller = exchange->caller;
   fb_str_t ticket = fh_find_header (response->headers, response->header_count,
                                     FB_LITERAL ("foxtailrun-ticket"));
 
-  if (caller->ticket && !exchange->repeated && response->status == 428 && ticket.len > 0)
+  if (caller->ticket && !exchange->sent_with_ticket && response->status == 428
+      && ticket.len > 0)
     {
-      exchange->repeated = true;
-      caller->repeats++;
+      exchange->sent_with_ticket = true;
+      caller->ticket_repeats++;
       send_call (exchange, ticket);
       return;
     }
@@ -166,7 +175,7 @@
   g_free (exchange);
   if (caller->rate == 0)
     start_calls (caller);
-  if (is_over (caller) && caller->ended == caller->started)
+  if (is_finished (caller) && caller->ended == caller->started)
     fk_quit (caller->kernel);
 }
 
@@ -187,7 +196,7 @@
   if (ticket.len > 0)
     headers[outgoing.header_count++]
         = (fh_header_t){ FB_LITERAL ("foxtailrun-ticket"), ticket };
-  fh_send_request (caller->targets[exchange->target], &outgoing, end_call, exchange);
+  fh_send_request (caller->targets[exchange->target], &outgoing, handle_response, exchange);
 }
 
 static void
@@ -201,28 +210,28 @@
   exchange->path = g_strdup_printf ("%s%cn=%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
                                     caller->path, strchr (caller->path, '?') ? '&' : '?',
                                     caller->seed, exchange->number);
-  exchange->begin = fb_read_clock (fk_get_clock (caller->kernel));
+  exchange->start_time = fb_read_clock (fk_get_clock (caller->kernel));
   send_call (exchange, (fb_str_t){ NULL, 0 });
 }
 
 static void
 start_calls (caller_t *caller)
 {
-  while (!is_over (caller) && caller->started - caller->ended < caller->concurrency)
+  while (!is_finished (caller) && caller->started - caller->ended < caller->concurrency)
     start_call (caller);
 }
 
-/* Starts the calls that are due by the rate. */
+/* Starts the calls that are due at the given rate. */
 static void
-tick_rate (void *user)
+start_due_calls (void *user)
 {
   caller_t *caller = user;
-  fb_time_t elapsed = fb_read_clock (fk_get_clock (caller->kernel)) - caller->begin;
+  fb_time_t elapsed = fb_read_clock (fk_get_clock (caller->kernel)) - caller->start_time;
   uint64_t due = (uint64_t)((double)elapsed / FB_SECOND * (double)caller->rate);
 
-  while (!is_over (caller) && caller->started < due)
+  while (!is_finished (caller) && caller->started < due)
     start_call (caller);
-  if (is_over (caller) && caller->ended == caller->started)
+  if (is_finished (caller) && caller->ended == caller->started)
     fk_quit (caller->kernel);
 }
 
@@ -236,11 +245,11 @@
       || !fb_set_name (&address, (fb_str_t){ text, (size_t)(colon - text) }))
     return false;
   caller->targets[caller->target_count++] = fh_create_client (
-      caller->kernel, &address, (uint16_t)atoi (colon + 1), 256, ANSWER_MAX, IO_TIMEOUT);
+      caller->kernel, &address, (uint16_t)atoi (colon + 1), 256, RESPONSE_MAX, IO_TIMEOUT);
   return true;
 }
 
-/* Takes OPTION=VALUE; returns false when it is not one. */
+/* Parses an OPTION=VALUE argument; returns false if TEXT is not a known option. */
 static bool
 read_option (caller_t *caller, const char *text)
 {
@@ -287,7 +296,9 @@
     {
       if (!read_option (&caller, argv[i]) && !add_target (&caller, argv[i]))
         {
-          fprintf (stderr, "standin-caller: not an option or address: %s\n", argv[i]);
+          fprintf (stderr,
+                   "standin-caller: argument \"%s\" is neither OPTION=VALUE nor ADDRESS:PORT\n",
+                   argv[i]);
           return 2;
         }
     }
@@ -296,9 +307,9 @@
       fprintf (stderr, "usage: standin-caller [OPTION=VALUE...] ADDRESS:PORT...\n");
       return 2;
     }
-  caller.begin = fb_read_clock (fk_get_clock (caller.kernel));
+  caller.start_time = fb_read_clock (fk_get_clock (caller.kernel));
   if (caller.rate > 0)
-    caller.timer = fk_create_timer (caller.kernel, FB_MILLISECOND, tick_rate, &caller);
+    caller.timer = fk_create_timer (caller.kernel, FB_MILLISECOND, start_due_calls, &caller);
   else
     start_calls (&caller);
   fk_run (caller.kernel);
--- a/standins/standin-platform.c
+++ b/standins/standin-platform.c
@@ -4,24 +4,24 @@
  *
  * Usage: standin-platform ADDRESS PORT FOLDER
  * FOLDER/config.toml is the published document, FOLDER/hosts.json the host list; both may be
- * missing. GET /standin/calls gives the number of calls so far. A file FOLDER/down makes every
- * call fail. */
+ * missing. GET /standin/calls returns the number of calls so far. While a file FOLDER/down
+ * exists, every call fails. */
 #include <foxtailrun/http/server.h>
 #include <glib.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define POLL_PERIOD (20 * FB_MILLISECOND)
+#define POLL_INTERVAL (20 * FB_MILLISECOND)
 
-/* Longest wait of a watch in s, as Consul has it. */
-#define WAIT_MAX_S 600
+/* Longest wait of a watch in s, the same as Consul's. */
+#define WATCH_WAIT_MAX_S 600
 
-/* A watched value with the file it comes from. */
+/* A value that is read from a file and can be watched. */
 typedef struct
 {
   const char *file;
-  const char *missing; /* text while the file is missing; NULL for 404 */
+  const char *missing_text; /* text if the file is missing; NULL for 404 */
   char *text;
   gsize len;
   uint64_t revision;
@@ -51,8 +51,10 @@
 {
   char index[24];
   fh_header_t header = { FB_LITERAL ("x-consul-index"), { index, 0 } };
-  const char *text = value->text ? value->text : value->missing;
-  size_t len = value->text ? value->len : value->missing ? strlen (value->missing) : 0;
+  const char *text = value->text ? value->text : value->missing_text;
+  size_t len = value->text           ? value->len
+               : value->missing_text ? strlen (value->missing_text)
+                                     : 0;
 
   header.value.len
       = (size_t)snprintf (index, sizeof index, "%" G_GUINT64_FORMAT, value->revision);
@@ -66,20 +68,20 @@
   fh_respond (request, status, NULL, 0, (fb_bytes_t){ (const uint8_t *)text, strlen (text) });
 }
 
-/* Returns the number after KEY in the query of PATH, or 0. */
+/* Returns the number that follows KEY in PATH, or 0. */
 static uint64_t
 read_query (fb_str_t path, const char *key)
 {
   char *text = fb_copy_text (path);
-  const char *at = strstr (text, key);
-  uint64_t value = at ? g_ascii_strtoull (at + strlen (key), NULL, 10) : 0;
+  const char *match = strstr (text, key);
+  uint64_t value = match ? g_ascii_strtoull (match + strlen (key), NULL, 10) : 0;
 
   g_free (text);
   return value;
 }
 
 static void
-forget_watch (fh_request_t *request, void *user)
+cancel_watch (fh_request_t *request, void *user)
 {
   platform_t *platform = user;
 
@@ -112,9 +114,9 @@
   watch->value = value;
   watch->index = index;
   watch->expires = fb_read_clock (fk_get_clock (platform->kernel))
-                   + (fb_time_t)MIN (wait, WAIT_MAX_S) * FB_SECOND;
+                   + (fb_time_t)MIN (wait, WATCH_WAIT_MAX_S) * FB_SECOND;
   g_ptr_array_add (platform->watches, watch);
-  fh_set_cancelled_handler (request, forget_watch, platform);
+  fh_set_cancelled_handler (request, cancel_watch, platform);
 }
 
 static void
@@ -144,7 +146,7 @@
 }
 
 static void
-release_watches (platform_t *platform)
+complete_watches (platform_t *platform)
 {
   fb_time_t now = fb_read_clock (fk_get_clock (platform->kernel));
 
@@ -163,7 +165,7 @@
     }
 }
 
-/* Takes a changed file over under the next revision. */
+/* Reloads the file of VALUE if it has changed, and increments the revision. */
 static void
 poll_value (platform_t *platform, value_t *value)
 {
@@ -193,7 +195,7 @@
   g_free (down);
   poll_value (platform, &platform->document);
   poll_value (platform, &platform->hosts);
-  release_watches (platform);
+  complete_watches (platform);
 }
 
 static void
@@ -205,8 +207,9 @@
 int
 main (int argc, char **argv)
 {
-  platform_t platform = { .document = { .file = "config.toml", .revision = 1 },
-                          .hosts = { .file = "hosts.json", .missing = "[]", .revision = 1 } };
+  platform_t platform
+      = { .document = { .file = "config.toml", .revision = 1 },
+          .hosts = { .file = "hosts.json", .missing_text = "[]", .revision = 1 } };
   fb_name_t address;
   fh_server_t *server;
 
@@ -224,7 +227,7 @@
   if (!server)
     return 1;
   poll_folder (&platform);
-  fk_create_timer (platform.kernel, POLL_PERIOD, poll_folder, &platform);
+  fk_create_timer (platform.kernel, POLL_INTERVAL, poll_folder, &platform);
   fk_watch_signals (platform.kernel, quit, platform.kernel);
   fk_run (platform.kernel);
   return 0;
--- a/standins/standin-store.c
+++ b/standins/standin-store.c
@@ -1,12 +1,12 @@
-/* Stand-in for the users' store: items by key with one revision, read by key, by prefix and by
- * watch, and trouble on demand.
+/* Stand-in for the users' store: items by key under one store-wide revision, read by key, by
+ * prefix and by watch. Failures can be switched on.
  *
  * Usage: standin-store ADDRESS PORT
  * PUT /standin/item?KEY with a body writes an item, DELETE removes it. PUT /standin/mode with a
- * body sets what every other call meets: "good"; "busy" answers 503, "many" 429, "silent"
- * nothing, "lost" closes the connection in place of each second answer, "slow" answers after
- * 300 ms. PUT /standin/forget drops the history, so that older watches get 410. GET
- * /standin/calls gives the number of reading calls. */
+ * body sets how read calls are answered: "good" normally, "busy" with 503, "many" with 429,
+ * "silent" not at all, "lost" only every second one, "slow" after 300 ms. PUT /standin/forget
+ * drops the history, so that watches from an earlier revision get 410. GET /standin/calls
+ * returns the number of read calls. */
 #include <foxtailrun/http/server.h>
 #include <glib.h>
 #include <jansson.h>
@@ -15,9 +15,9 @@
 #include <string.h>
 
 #define BODY_MAX (4 * 1024 * 1024)
-#define POLL_PERIOD (10 * FB_MILLISECOND)
+#define POLL_INTERVAL (10 * FB_MILLISECOND)
 #define SLOW_DELAY (300 * FB_MILLISECOND)
-#define PAGE_ITEMS 3 /* small, so that lists have several pages */
+#define PAGE_ITEMS_MAX 3 /* small, so that lists have several pages */
 
 typedef struct
 {
@@ -38,12 +38,12 @@
 typedef struct
 {
   fk_kernel_t *kernel;
-  GTree *items; /* item_t by key, the removed ones included */
+  GTree *items; /* item_t by key, including removed items */
   GPtrArray *watches;
-  GPtrArray *held; /* requests that are never answered */
+  GPtrArray *unanswered; /* requests that get no response */
   char mode[16];
   uint64_t revision;
-  uint64_t oldest; /* watches from before get 410 */
+  uint64_t oldest_revision; /* a watch from an earlier revision gets 410 */
   uint64_t calls;
 } store_t;
 
@@ -52,7 +52,7 @@
   store_t *store;
   fh_request_t *request;
   fk_timer_t *timer;
-} delayed_t;
+} delayed_request_t;
 
 static void
 respond_json (fh_request_t *request, uint32_t status, json_t *object)
@@ -90,7 +90,7 @@
 }
 
 static json_t *
-describe_item (const item_t *item)
+encode_item (const item_t *item)
 {
   if (!item->value)
     return json_pack ("{s:s,s:I,s:b}", "Key", item->key, "Revision", (json_int_t)item->revision,
@@ -104,10 +104,10 @@
 {
   json_t *list;
   const char *prefix;
-  const char *after;  /* list: keys above */
-  uint64_t after_rev; /* watch: revisions above */
-  bool removed;       /* watch: the removed ones too */
-  bool more;
+  const char *after;       /* list: only keys after it */
+  uint64_t after_revision; /* watch: only later revisions */
+  bool include_removed;    /* watch: removed items as well */
+  bool has_more;
   size_t limit;
 } selection_t;
 
@@ -117,21 +117,22 @@
   selection_t *selection = user;
   const item_t *item = value;
 
-  if (!g_str_has_prefix (item->key, selection->prefix) || item->revision <= selection->after_rev
-      || (!item->value && !selection->removed)
+  if (!g_str_has_prefix (item->key, selection->prefix)
+      || item->revision <= selection->after_revision
+      || (!item->value && !selection->include_removed)
       || (selection->after && strcmp (item->key, selection->after) <= 0))
     return FALSE;
   if (json_array_size (selection->list) == selection->limit)
     {
-      selection->more = true;
+      selection->has_more = true;
       return TRUE;
     }
-  json_array_append_new (selection->list, describe_item (item));
+  json_array_append_new (selection->list, encode_item (item));
   return FALSE;
 }
 
 static void
-answer_key (store_t *store, fh_request_t *request, const char *path)
+respond_key (store_t *store, fh_request_t *request, const char *path)
 {
   char *key = read_parameter (path, "Key");
   const item_t *item = key ? g_tree_lookup (store->items, key) : NULL;
@@ -139,7 +140,7 @@
 
   if (item && item->value)
     {
-      answer = describe_item (item);
+      answer = encode_item (item);
       json_object_set_new (answer, "At", json_integer ((json_int_t)store->revision));
       respond_json (request, 200, answer);
     }
@@ -149,24 +150,24 @@
 }
 
 static void
-answer_range (store_t *store, fh_request_t *request, const char *path)
+respond_range (store_t *store, fh_request_t *request, const char *path)
 {
   char *prefix = read_parameter (path, "PathPrefix");
   char *after = read_parameter (path, "after");
   selection_t selection
-      = { json_array (), prefix ? prefix : "", after, 0, false, false, PAGE_ITEMS };
+      = { json_array (), prefix ? prefix : "", after, 0, false, false, PAGE_ITEMS_MAX };
 
   g_tree_foreach (store->items, select_item, &selection);
   respond_json (request, 200,
-                json_pack ("{s:o,s:b,s:I}", "items", selection.list, "HasMore", selection.more,
-                           "At", (json_int_t)store->revision));
+                json_pack ("{s:o,s:b,s:I}", "items", selection.list, "HasMore",
+                           selection.has_more, "At", (json_int_t)store->revision));
   g_free (prefix);
   g_free (after);
 }
 
-/* Answers WATCH when something has changed or its time is over; returns whether it did. */
+/* Answers WATCH if an item has changed or the wait has expired; returns whether it did. */
 static bool
-try_watch (store_t *store, watch_t *watch)
+complete_watch (store_t *store, watch_t *watch)
 {
   selection_t selection
       = { json_array (), watch->prefix, NULL, watch->after, true, false, SIZE_MAX };
@@ -198,12 +199,12 @@
 {
   store_t *store = user;
 
-  /* In an outage the watches that wait hear nothing either. */
+  /* During an outage open watches get no response either. */
   if (strcmp (store->mode, "busy") == 0 || strcmp (store->mode, "many") == 0
       || strcmp (store->mode, "silent") == 0)
     return;
   for (guint i = store->watches->len; i > 0; i--)
-    if (try_watch (store, store->watches->pdata[i - 1]))
+    if (complete_watch (store, store->watches->pdata[i - 1]))
       g_ptr_array_remove_index_fast (store->watches, i - 1);
 }
 
@@ -219,7 +220,7 @@
 }
 
 static void
-answer_watch (store_t *store, fh_request_t *request, const char *path)
+respond_watch (store_t *store, fh_request_t *request, const char *path)
 {
   char *after = read_parameter (path, "after");
   char *wait = read_parameter (path, "WaitMs");
@@ -232,13 +233,13 @@
                    + (fb_time_t)(wait ? g_ascii_strtoull (wait, NULL, 10) : 0) * FB_MILLISECOND;
   g_free (after);
   g_free (wait);
-  if (watch->after < store->oldest)
+  if (watch->after < store->oldest_revision)
     {
       respond_status (request, 410);
       free_watch (watch);
       return;
     }
-  if (try_watch (store, watch))
+  if (complete_watch (store, watch))
     {
       free_watch (watch);
       return;
@@ -248,27 +249,27 @@
 }
 
 static void
-answer_read (store_t *store, fh_request_t *request)
+respond_read (store_t *store, fh_request_t *request)
 {
   char *path = fb_copy_text (fh_get_path (request));
 
   if (g_str_has_prefix (path, "/foxtailrun/kv-key?"))
-    answer_key (store, request, path);
+    respond_key (store, request, path);
   else if (g_str_has_prefix (path, "/foxtailrun/kv-range?"))
-    answer_range (store, request, path);
+    respond_range (store, request, path);
   else if (g_str_has_prefix (path, "/foxtailrun/kv-watch?"))
-    answer_watch (store, request, path);
+    respond_watch (store, request, path);
   else
     respond_status (request, 404);
   g_free (path);
 }
 
 static void
-answer_later (void *user)
+finish_delay (void *user)
 {
-  delayed_t *delayed = user;
+  delayed_request_t *delayed = user;
 
-  answer_read (delayed->store, delayed->request);
+  respond_read (delayed->store, delayed->request);
   fk_destroy_timer (delayed->timer);
   g_free (delayed);
 }
@@ -283,17 +284,17 @@
     respond_status (request, 429);
   else if (strcmp (store->mode, "silent") == 0
            || (strcmp (store->mode, "lost") == 0 && store->calls % 2 == 0))
-    g_ptr_array_add (store->held, request);
+    g_ptr_array_add (store->unanswered, request);
   else if (strcmp (store->mode, "slow") == 0)
     {
-      delayed_t *delayed = g_new0 (delayed_t, 1);
+      delayed_request_t *delayed = g_new0 (delayed_request_t, 1);
 
       delayed->store = store;
       delayed->request = request;
-      delayed->timer = fk_create_timeout (store->kernel, SLOW_DELAY, answer_later, delayed);
+      delayed->timer = fk_create_timeout (store->kernel, SLOW_DELAY, finish_delay, delayed);
     }
   else
-    answer_read (store, request);
+    respond_read (store, request);
 }
 
 static void
@@ -329,7 +330,7 @@
     g_snprintf (store->mode, sizeof store->mode, "%.*s", (int)body.len,
                 (const char *)body.data);
   else if (strcmp (path, "/standin/forget") == 0)
-    store->oldest = store->revision + 1;
+    store->oldest_revision = store->revision + 1;
   len = g_snprintf (text, sizeof text, "%" G_GUINT64_FORMAT "\n", store->calls);
   fh_respond (request, 200, NULL, 0, (fb_bytes_t){ (const uint8_t *)text, (size_t)len });
 }
@@ -368,11 +369,11 @@
   store.kernel = fk_create_kernel (NULL);
   store.items = g_tree_new ((GCompareFunc)strcmp);
   store.watches = g_ptr_array_new_with_free_func (free_watch);
-  store.held = g_ptr_array_new ();
+  store.unanswered = g_ptr_array_new ();
   if (!fh_create_server (store.kernel, &address, (uint16_t)atoi (argv[2]), BODY_MAX,
                          handle_request, &store))
     return 1;
-  fk_create_timer (store.kernel, POLL_PERIOD, poll_watches, &store);
+  fk_create_timer (store.kernel, POLL_INTERVAL, poll_watches, &store);
   fk_watch_signals (store.kernel, quit, store.kernel);
   fk_run (store.kernel);
   return 0;
