--- a/bench/bench-admission.c
+++ b/bench/bench-admission.c
@@ -1,4 +1,4 @@
-/* Admission policies side by side: per rank goodput, latency, share kept and worth served. */
+/* Compares admission policies: goodput, latency, share of slot time and worth for each rank. */
 #include "sim-service.h"
 #include <string.h>
 
@@ -30,36 +30,37 @@
   { "shares+throttle", { FR_POLICY_SHARES, FR_PICK_TWO_CHOICES, true } },
 };
 
-/* Prints one run; BASE is the steady run of the same policy, or NULL. */
+/* Prints one run. STEADY_ANSWERED: urgent calls answered in the steady run of the same policy;
+ * 0 omits the comparison. */
 static void
-print_result (const char *policy, const sim_result_t *result, const double base_good)
+print_result (const char *policy, const sim_result_t *result, const double steady_answered)
 {
   double worth = 0;
-  double used = 0;
+  double utilization = 0;
 
   g_print ("  %-16s", policy);
   for (int i = 0; i < SIM_RANKS; i++)
     {
-      const sim_rank_t *rule = &SIM_RANK_TABLE[i];
+      const sim_rank_t *options = &SIM_RANK_TABLE[i];
       const sim_rank_result_t *rank = &result->ranks[i];
       double share = rank->slot_time / result->capacity;
 
-      used += share;
-      worth += rule->worth * (double)rank->in_target / result->seconds;
-      g_print (" | %7.0f %6.1f %7.1f %5.1f", (double)rank->good / result->seconds,
+      utilization += share;
+      worth += options->worth * (double)rank->in_target / result->seconds;
+      g_print (" | %7.0f %6.1f %7.1f %5.1f", (double)rank->answered / result->seconds,
                sim_get_quantile (rank, 0.5), sim_get_quantile (rank, 0.99), share * 100);
     }
-  g_print (" | %5.1f %8.0f", used * 100, worth);
-  if (base_good > 0)
-    g_print (" %6.1f", 100 * (double)result->ranks[0].good / base_good);
+  g_print (" | %5.1f %8.0f", utilization * 100, worth);
+  if (steady_answered > 0)
+    g_print (" %6.1f", 100 * (double)result->ranks[0].answered / steady_answered);
   else
     g_print ("      -");
   g_print (" %6.1f %8.0f\n",
-           100 * (double)result->others_good / (double)MAX (result->others_offered, 1),
+           100 * (double)result->others_answered / (double)MAX (result->others_offered, 1),
            (double)result->attempts / result->seconds);
 }
 
-/* Without arguments all runs are made; else those of one deployment, and of one scenario. */
+/* Arguments: [DEPLOYMENT [SCENARIO]], to run only these besides the steady scenario. */
 int
 main (int argc, char **argv)
 {
@@ -89,7 +90,7 @@
                   = sim_run_service (&deployments[d], &scenarios[s], &policies[p].policy, 1);
 
               if (s == 0)
-                steady[p] = (double)result.ranks[0].good;
+                steady[p] = (double)result.ranks[0].answered;
               print_result (policies[p].name, &result, scenarios[s].scale == 1 ? steady[p] : 0);
               sim_clear_result (&result);
             }
--- a/bench/bench-call-cost.c
+++ b/bench/bench-call-cost.c
@@ -1,4 +1,4 @@
-/* Processor time of the call package by operation, in real time. */
+/* Measures the time of each operation of the call package. */
 #include <foxtailrun/call/admission.h>
 #include <foxtailrun/call/once.h>
 #include <foxtailrun/call/picker.h>
@@ -6,10 +6,10 @@
 #include <glib.h>
 
 #define ROUNDS 200000
-#define FLEET 3000
+#define INSTANCES 3000
 #define CUSTOMERS 1000
 #define SLOTS 9
-#define ANSWER_SIZE 1024
+#define RESPONSE_BYTES 1024
 
 static const fb_str_t service = FB_LITERAL ("service");
 
@@ -28,35 +28,35 @@
   g_print ("%-44s %8.0f ns\n", name, (double)(fb_read_clock (clock) - start) / count);
 }
 
-/* Started calls end in turn; refused ones are only counted. */
+/* Started calls finish in order; refused calls are only counted. */
 typedef struct
 {
   GQueue started;
   uint64_t refused;
-} hooks_t;
+} admission_state_t;
 
 static void
 on_start (void *call, void *user)
 {
-  g_queue_push_tail (&((hooks_t *)user)->started, call);
+  g_queue_push_tail (&((admission_state_t *)user)->started, call);
 }
 
 static void
 on_refuse (void *call, fr_refusal_t refusal, void *user)
 {
-  ((hooks_t *)user)->refused++;
+  ((admission_state_t *)user)->refused++;
 }
 
-/* Offers OFFERED calls of different customers for each one that ends. */
+/* Finishes one call for every OFFERED calls offered; the customers take turns. */
 static void
 measure_admission (const char *name, const fb_clock_t *clock, int offered)
 {
-  hooks_t state = { G_QUEUE_INIT, 0 };
+  admission_state_t state = { G_QUEUE_INIT, 0 };
   const fr_admission_hooks_t hooks = { on_start, on_refuse, &state };
-  const fr_rank_options_t rules[] = { { 0.5, 0, 0 }, { 0.3, 0, 0 }, { 0.1, 0, 0 } };
+  const fr_rank_options_t rank_options[] = { { 0.5, 0, 0 }, { 0.3, 0, 0 }, { 0.1, 0, 0 } };
   fb_counters_t *counters = fb_create_counters ();
   fr_admission_t *admission
-      = fr_create_admission (FR_POLICY_SHARES, SLOTS, rules, 3, clock, counters, &hooks);
+      = fr_create_admission (FR_POLICY_SHARES, SLOTS, rank_options, 3, clock, counters, &hooks);
   fb_name_t customers[CUSTOMERS];
   fb_time_t start;
 
@@ -87,7 +87,7 @@
   fr_picker_t *picker = fr_create_picker (FR_PICK_TWO_CHOICES, &self, &zone, 1, clock);
   fb_time_t start = fb_read_clock (clock);
 
-  for (int i = 0; i < FLEET; i++)
+  for (int i = 0; i < INSTANCES; i++)
     {
       fw_member_t member = { .id = make_name ("node", i),
                              .zone = make_name ("zone", i % 8),
@@ -96,7 +96,7 @@
 
       fr_update_instance (picker, &member);
     }
-  print_cost ("picker: add one of 3,000 members", clock, start, FLEET);
+  print_cost ("picker: add one of 3,000 members", clock, start, INSTANCES);
   start = fb_read_clock (clock);
   for (int i = 0; i < ROUNDS; i++)
     {
@@ -130,7 +130,7 @@
 measure_once (const fb_clock_t *clock)
 {
   static const uint8_t secret[32] = { 1 };
-  static uint8_t body[ANSWER_SIZE];
+  static uint8_t body[RESPONSE_BYTES];
   fb_name_t self = make_name ("entry", 0);
   fr_once_t *once = fr_create_once (&self, 1, secret, 10000, 4 * 1024 * 1024);
   fb_time_t start = fb_read_clock (clock);
@@ -139,11 +139,11 @@
     {
       char text[FR_TICKET_MAX];
       fr_ticket_t ticket;
-      fb_bytes_t answer;
+      fb_bytes_t response;
 
       fr_issue_ticket (once, text);
       if (fr_parse_ticket (fb_wrap_text (text), &ticket) == FB_OK
-          && fr_begin_once (once, &ticket, 1, &answer) == FR_ONCE_RUN)
+          && fr_begin_once (once, &ticket, 1, &response) == FR_ONCE_RUN)
         fr_end_once (once, &ticket, (fb_bytes_t){ body, sizeof body });
     }
   print_cost ("once: issue, parse, begin, end, 1 KB answer", clock, start, ROUNDS);
--- a/bench/bench-config.c
+++ b/bench/bench-config.c
@@ -1,4 +1,5 @@
-/* Cost of checking a document: whole, and based on a snapshot that differs in some routes. */
+/* Measures the check of a document: in full, and based on a snapshot that differs in some
+ * routes. */
 #include <foxtailrun/config/snapshot.h>
 #include <glib.h>
 #include <malloc.h>
@@ -10,10 +11,10 @@
 #define SERVICES 130
 #define NS_PER_MS 1e6
 
-/* Routes of a document of about the largest size. */
+/* Routes of a document of nearly the largest permitted size. */
 #define ROUTES_LARGEST 4000
 
-/* Length of a route's text without the comment that fills it up to the intended size. */
+/* Length of a route with the comment that pads it. */
 #define ROUTE_BYTES 258
 
 static double
@@ -25,7 +26,7 @@
   return (double)now.tv_sec * 1e3 + (double)now.tv_nsec / NS_PER_MS;
 }
 
-/* Writes a document with ROUTES routes, CHANGED of which differ by VERSION. */
+/* Returns a document with ROUTES routes, CHANGED of which depend on VERSION. */
 static GString *
 write_document (int routes, int changed, int version)
 {
@@ -44,8 +45,8 @@
     }
   for (int i = 0; i < routes; i++)
     {
-      /* Spreads the changed routes over the document. */
-      bool differs = (long)i * changed / routes != (long)(i + 1) * changed / routes;
+      /* Distributes the changed routes evenly over the document. */
+      bool changes = (long)i * changed / routes != (long)(i + 1) * changed / routes;
       gsize start = text->len;
 
       g_string_append_printf (
@@ -53,7 +54,7 @@
           "[[route]]\nname = \"route-%d\"\npath = \"/shop/area-%d/item-%d/history\"\n"
           "methods = [\"GET\", \"HEAD\"]\nservice = \"service-%d\"\nrank = \"rank-%d\"\n"
           "timeout_ms = %d\nrepeatable = true\nretries = 2\n# ",
-          i, i % 50, i, i % SERVICES, i % 4, 1000 + (differs ? version : 0));
+          i, i % 50, i, i % SERVICES, i % 4, 1000 + (changes ? version : 0));
       while (text->len - start < ROUTE_BYTES - 1)
         g_string_append_c (text, 'x');
       g_string_append_c (text, '\n');
@@ -129,7 +130,7 @@
     {
       GString *text = write_document (ROUTES_LARGEST, 0, 1);
 
-      /* Writes the largest document for other programs. */
+      /* Writes the largest document to a file, as input of other programs. */
       g_file_set_contents (argv[1], text->str, (gssize)text->len, NULL);
       g_string_free (text, TRUE);
       return 0;
--- a/bench/bench-dist.c
+++ b/bench/bench-dist.c
@@ -1,4 +1,5 @@
-/* Ways of dissemination weighed on the same work, and one node's cost at the target size. */
+/* Compares dissemination strategies on the same changes, and measures the cost of one node at
+ * the target size. */
 #include "dist-state.h"
 #include "fleet.h"
 #include <foxtailrun/config/delta.h>
@@ -10,63 +11,65 @@
 #define ZONES 1
 #define PUBLICATIONS 30
 
-/* Routes of the documents spread; the manual clock does not count the time of their checks. */
+/* Routes of the published documents. The manual clock does not include the time of their
+ * checks. */
 #define ROUTES 100
 
-/* One change every 62 s, 1,400 a day. */
-#define CHANGE_PERIOD (62 * FB_SECOND)
+/* 1,400 changes a day. */
+#define CHANGE_INTERVAL (62 * FB_SECOND)
 
-/* Longest polling period that keeps a change within 6 s. */
-#define POLL_PERIOD (5 * FB_SECOND)
+/* Longest interval with which polling distributes a change within 6 s. */
+#define POLL_INTERVAL (5 * FB_SECOND)
 
-/* Longest wait for the last node. */
-#define SPREAD_LIMIT (60 * FB_SECOND)
+/* Longest wait until the last node has a version. */
+#define SPREAD_TIME_MAX (60 * FB_SECOND)
 
-#define KILLED 2
+#define KILLED_NODES 2
 
-/* Target size. */
-#define FLEET 3000
-#define ROUNDS 20
+/* Size of the target fleet, and repetitions of each measurement. */
+#define TARGET_NODES 3000
+#define REPETITIONS 20
 
 typedef enum
 {
   PUSH_AND_PULL,
   PULL_ONLY,
   POLL_SOURCE
-} way_t;
-
-static const char *const way_names[] = { "push+pull", "pull only", "poll" };
-static way_t way;
-
-/* The linker's names for the replaced functions and their replacements, see --wrap. */
-void announce_really (fm_table_t *table) __asm__("__real_fm_announce_version");
-void announce_by_way (fm_table_t *table) __asm__("__wrap_fm_announce_version");
-void read_really (fd_node_t *node) __asm__("__real_fd_tick_source");
-void read_by_way (fd_node_t *node) __asm__("__wrap_fd_tick_source");
-void hear_really (fd_node_t *node, const fw_member_t *sender,
-                  const fb_version_t *version) __asm__("__real_fd_handle_summary");
-void hear_by_way (fd_node_t *node, const fw_member_t *sender,
-                  const fb_version_t *version) __asm__("__wrap_fd_handle_summary");
+} strategy_t;
+
+static const char *const strategy_names[] = { "push+pull", "pull only", "poll" };
+static strategy_t strategy;
+
+/* Names that the linker gives to the original functions and their replacements, see --wrap. */
+void announce_original (fm_table_t *table) __asm__("__real_fm_announce_version");
+void announce_by_strategy (fm_table_t *table) __asm__("__wrap_fm_announce_version");
+void tick_source_original (fd_node_t *node) __asm__("__real_fd_tick_source");
+void tick_source_by_strategy (fd_node_t *node) __asm__("__wrap_fd_tick_source");
+void handle_summary_original (fd_node_t *node, const fw_member_t *sender,
+                              const fb_version_t *version) __asm__("__real_fd_handle_summary");
+void
+handle_summary_by_strategy (fd_node_t *node, const fw_member_t *sender,
+                            const fb_version_t *version) __asm__("__wrap_fd_handle_summary");
 
 void
-announce_by_way (fm_table_t *table)
+announce_by_strategy (fm_table_t *table)
 {
-  if (way == PUSH_AND_PULL)
-    announce_really (table);
+  if (strategy == PUSH_AND_PULL)
+    announce_original (table);
 }
 
 void
-read_by_way (fd_node_t *node)
+tick_source_by_strategy (fd_node_t *node)
 {
   fb_time_t now = fb_read_clock (node->clock);
   fd_source_t *source = &node->source;
 
-  if (way != POLL_SOURCE)
+  if (strategy != POLL_SOURCE)
     {
-      read_really (node);
+      tick_source_original (node);
       return;
     }
-  if (source->outstanding || now < source->next_at || now - source->started_at < POLL_PERIOD)
+  if (source->outstanding || now < source->next_at || now - source->started_at < POLL_INTERVAL)
     return;
   source->outstanding = true;
   source->started_at = now;
@@ -75,10 +78,11 @@
 }
 
 void
-hear_by_way (fd_node_t *node, const fw_member_t *sender, const fb_version_t *version)
+handle_summary_by_strategy (fd_node_t *node, const fw_member_t *sender,
+                            const fb_version_t *version)
 {
-  if (way != POLL_SOURCE)
-    hear_really (node, sender, version);
+  if (strategy != POLL_SOURCE)
+    handle_summary_original (node, sender, version);
 }
 
 static int
@@ -102,11 +106,11 @@
   return true;
 }
 
-/* Kills nodes as soon as they have applied NUMBER, up to KILLED in all. */
+/* Kills nodes that have applied NUMBER, up to KILLED_NODES in all. */
 static void
 kill_announcers (sf_fleet_t *fleet, uint64_t number, size_t *killed)
 {
-  for (size_t i = 0; i < fleet->count && *killed < KILLED; i++)
+  for (size_t i = 0; i < fleet->count && *killed < KILLED_NODES; i++)
     {
       if (fleet->hosts[i].node == NULL
           || fd_get_version (fleet->hosts[i].node)->number < number)
@@ -116,25 +120,25 @@
     }
 }
 
-/* Publishes NUMBER and returns the time until the last running node has it. */
+/* Publishes NUMBER and returns the time until all running nodes have it. */
 static fb_time_t
 time_publication (sf_fleet_t *fleet, uint64_t number, bool kill)
 {
-  fb_time_t waited = 0;
-  size_t killed = kill ? 0 : KILLED;
+  fb_time_t elapsed = 0;
+  size_t killed = kill ? 0 : KILLED_NODES;
 
   sf_publish_document (fleet, sf_make_document (number, (uint32_t)number * 7, ROUTES), true);
-  while (!has_version (fleet, number) && waited < SPREAD_LIMIT)
+  while (!has_version (fleet, number) && elapsed < SPREAD_TIME_MAX)
     {
       sf_run_fleet (fleet, SF_STEP);
-      waited += SF_STEP;
+      elapsed += SF_STEP;
       kill_announcers (fleet, number, &killed);
     }
-  return waited;
+  return elapsed;
 }
 
 static void
-measure_way (double loss, bool kill)
+measure_strategy (double loss, bool kill)
 {
   sf_fleet_t *fleet = sf_create_fleet (11, NODES, ZONES);
   fb_time_t times[PUBLICATIONS];
@@ -153,21 +157,21 @@
   for (size_t i = 0; i < PUBLICATIONS; i++)
     {
       times[i] = time_publication (fleet, i + 2, kill);
-      if (times[i] < CHANGE_PERIOD)
-        sf_run_fleet (fleet, CHANGE_PERIOD - times[i]);
+      if (times[i] < CHANGE_INTERVAL)
+        sf_run_fleet (fleet, CHANGE_INTERVAL - times[i]);
       for (size_t j = 0; j < NODES; j++)
         {
           if (fleet->hosts[j].node == NULL)
             sf_start_host (fleet, j);
         }
-      sf_run_fleet (fleet, kill ? CHANGE_PERIOD : 0);
+      sf_run_fleet (fleet, kill ? CHANGE_INTERVAL : 0);
     }
   for (size_t i = 0; i < NODES; i++)
     sent += fleet->hosts[i].sent_bytes;
-  seconds = (double)PUBLICATIONS * (kill ? 2 : 1) * CHANGE_PERIOD / (double)FB_SECOND;
+  seconds = (double)PUBLICATIONS * (kill ? 2 : 1) * CHANGE_INTERVAL / (double)FB_SECOND;
   qsort (times, PUBLICATIONS, sizeof times[0], compare_times);
-  printf ("%-10s %5.0f %% %-7s %8d %8d %10.0f %10.0f %10.3f\n", way_names[way], loss * 100,
-          kill ? "killed" : "", (int)(times[PUBLICATIONS / 2] / FB_MILLISECOND),
+  printf ("%-10s %5.0f %% %-7s %8d %8d %10.0f %10.0f %10.3f\n", strategy_names[strategy],
+          loss * 100, kill ? "killed" : "", (int)(times[PUBLICATIONS / 2] / FB_MILLISECOND),
           (int)(times[PUBLICATIONS - 1] / FB_MILLISECOND), (double)sent / NODES / seconds,
           (double)(fleet->source.bytes - read) / NODES / seconds,
           (double)(fleet->source.calls - calls) / seconds);
@@ -183,8 +187,8 @@
   return (double)now.tv_sec * 1e3 + (double)now.tv_nsec / 1e6;
 }
 
-/* A document of nearly 1 MB: 4,000 routes whose paths hold random digits, so that it does not
- * compress better than a real one. */
+/* Returns a document of nearly 1 MB: 4,000 routes whose paths contain random digits, so that it
+ * compresses no better than a real one. */
 static GBytes *
 make_large_document (uint64_t number, uint32_t timeout_ms)
 {
@@ -220,21 +224,22 @@
   double start = read_cpu_ms ();
   double encoded;
 
-  for (int i = 0; i < ROUNDS; i++)
+  for (int i = 0; i < REPETITIONS; i++)
     {
       g_free (frame);
       frame = fc_encode_delta (base, document, &length);
     }
   encoded = read_cpu_ms ();
-  for (int i = 0; i < ROUNDS; i++)
+  for (int i = 0; i < REPETITIONS; i++)
     {
       if (fc_decode_delta (base, (fb_bytes_t){ frame, length }, &decoded, &decoded_length)
           != FB_OK)
-        g_error ("the frame does not decode");
+        g_error ("the delta frame does not decode");
       g_free (decoded);
     }
   printf ("%-16s %8zu bytes of %zu, encode %.2f ms, decode %.2f ms CPU\n", name, length,
-          document.len, (encoded - start) / ROUNDS, (read_cpu_ms () - encoded) / ROUNDS);
+          document.len, (encoded - start) / REPETITIONS,
+          (read_cpu_ms () - encoded) / REPETITIONS);
   g_free (frame);
 }
 
@@ -244,10 +249,10 @@
   double start = read_cpu_ms ();
   double digested;
 
-  for (int i = 0; i < ROUNDS; i++)
+  for (int i = 0; i < REPETITIONS; i++)
     fb_compute_digest (document);
   digested = read_cpu_ms ();
-  for (int i = 0; i < ROUNDS; i++)
+  for (int i = 0; i < REPETITIONS; i++)
     {
       fc_problems_t *problems = fc_create_problems ();
       fc_snapshot_t *snapshot = fc_check_document (document, problems);
@@ -257,8 +262,8 @@
       fc_release_snapshot (snapshot);
       fc_destroy_problems (problems);
     }
-  printf ("%-16s digest %.2f ms, check %.2f ms CPU\n", "both", (digested - start) / ROUNDS,
-          (read_cpu_ms () - digested) / ROUNDS);
+  printf ("%-16s digest %.2f ms, check %.2f ms CPU\n", "both", (digested - start) / REPETITIONS,
+          (read_cpu_ms () - digested) / REPETITIONS);
 }
 
 static void
@@ -295,7 +300,7 @@
 {
 }
 
-/* Ticks of one node among 3,000 members, and its answers to a joining one. */
+/* Measures the ticks of one node among 3,000 members, and its responses to a joining one. */
 static void
 measure_node (void)
 {
@@ -306,13 +311,13 @@
   size_t bytes = 0;
   fd_hooks_t hooks
       = { count_message, drop_read, drop_snapshot, drop_ready, drop_refusal, &bytes };
-  fw_member_t *members = g_new0 (fw_member_t, FLEET);
-  fw_control_t ask = { .kind = FW_MEMBERS_REQUEST };
+  fw_member_t *members = g_new0 (fw_member_t, TARGET_NODES);
+  fw_control_t request = { .kind = FW_MEMBERS_REQUEST };
   fm_table_t *table;
   fd_node_t *node;
   double start;
 
-  for (size_t i = 0; i < FLEET; i++)
+  for (size_t i = 0; i < TARGET_NODES; i++)
     {
       char text[32];
 
@@ -328,7 +333,7 @@
       members[i].control_port = members[i].call_port = members[i].admin_port = 7000;
     }
   table = fm_create_table (&members[0], &options, 3, clock, counters, &member_hooks);
-  fm_merge_members (table, members + 1, FLEET - 1);
+  fm_merge_members (table, members + 1, TARGET_NODES - 1);
   node = fd_create_node (table, 4, clock, counters, NULL, &hooks);
   start = read_cpu_ms ();
   for (int i = 0; i < 600; i++)
@@ -336,15 +341,15 @@
       fb_advance_clock (clock, 100 * FB_MILLISECOND);
       fd_tick (node);
     }
-  printf ("ticks of a joining node, %d members: %.4f %% of a core\n", FLEET,
+  printf ("ticks of a joining node, %d members: %.4f %% of a core\n", TARGET_NODES,
           (read_cpu_ms () - start) / 60e3 * 100);
-  ask.sender = members[1].id;
+  request.sender = members[1].id;
   bytes = 0;
   start = read_cpu_ms ();
-  for (int i = 0; i < ROUNDS; i++)
-    fd_handle_message (node, &ask);
+  for (int i = 0; i < REPETITIONS; i++)
+    fd_handle_message (node, &request);
   printf ("page of %d members: %zu bytes, %.2f ms CPU\n", FW_MEMBERS_PER_PAGE_MAX,
-          bytes / ROUNDS, (read_cpu_ms () - start) / ROUNDS);
+          bytes / REPETITIONS, (read_cpu_ms () - start) / REPETITIONS);
   fd_destroy_node (node);
   fm_destroy_table (table);
   fb_destroy_counters (counters);
@@ -364,12 +369,12 @@
   printf ("%d nodes, %d zone, %d publications\n", NODES, ZONES, PUBLICATIONS);
   printf ("%-10s %7s %-7s %8s %8s %10s %10s %10s\n", "way", "loss", "", "last50ms", "lastmax",
           "sent B/s", "source B/s", "calls/s");
-  for (way = PUSH_AND_PULL; way <= POLL_SOURCE; way++)
+  for (strategy = PUSH_AND_PULL; strategy <= POLL_SOURCE; strategy++)
     {
       for (size_t i = 0; i < G_N_ELEMENTS (losses); i++)
         {
-          measure_way (losses[i], false);
-          measure_way (losses[i], true);
+          measure_strategy (losses[i], false);
+          measure_strategy (losses[i], true);
         }
     }
   base.data = g_bytes_get_data (older, &base.len);
--- a/bench/bench-pick.c
+++ b/bench/bench-pick.c
@@ -1,4 +1,4 @@
-/* Policies for picking an instance side by side, each with and without throttle and retries. */
+/* Compares policies for picking an instance, each with and without throttle and retries. */
 #include "sim-service.h"
 #include <string.h>
 
@@ -27,7 +27,6 @@
   { "round-robin", FR_PICK_ROUND_ROBIN },
 };
 
-/* Prints one run. */
 static void
 print_result (const char *name, const sim_result_t *result)
 {
@@ -42,7 +41,7 @@
       offered += rank->offered;
       worth += SIM_RANK_TABLE[i].worth * (double)rank->in_target / result->seconds;
       g_print (" | %6.1f %6.1f %7.1f",
-               100 * (double)rank->good / (double)MAX (rank->offered, 1),
+               100 * (double)rank->answered / (double)MAX (rank->offered, 1),
                sim_get_quantile (rank, 0.5), sim_get_quantile (rank, 0.99));
     }
   g_print (" | %8.0f %6.2f\n", worth, (double)result->attempts / (double)MAX (offered, 1));
@@ -68,7 +67,7 @@
     }
 }
 
-/* Without arguments all runs are made; else those of one deployment, and of one scenario. */
+/* Arguments: [DEPLOYMENT [SCENARIO]], to run only these. */
 int
 main (int argc, char **argv)
 {
--- a/bench/call-bench.c
+++ b/bench/call-bench.c
@@ -1,11 +1,11 @@
-/* Latency that the call path adds, calls a second, and processor time a call, with real
- * processes on loopback.
+/* Measures the latency that the call path adds, the calls a second and the processor time a
+ * call, with real processes on loopback.
  *
  * Usage: call-bench DAEMON PLATFORM BACKEND SECONDS
- * One backend server stand-in that answers at once, its node, and an entry node of another
- * service. Calls go one after another to the backend server directly, through its own node (one
- * hop) and through the entry node (two hops), interleaved so that all three see the same
- * machine; then many at once through the entry node. */
+ * Starts a backend server stand-in that answers at once, its node, and an entry node of another
+ * service. Sequential calls go to the backend server directly, through its own node (one hop)
+ * and through the entry node (two hops), interleaved so that the load of the machine affects
+ * all three alike; then many calls at once go through the entry node. */
 #include "process.h"
 #include <foxtailrun/http/client.h>
 #include <glib.h>
@@ -14,8 +14,8 @@
 #include <string.h>
 #include <unistd.h>
 
-#define WAYS 3
-#define PARALLEL 64
+#define HOP_COUNTS 3
+#define PARALLEL_CALLS 64
 #define WARM_UP_CALLS 200
 
 typedef struct
@@ -25,19 +25,19 @@
   unsigned net;
   GPid pids[8];
   size_t pid_count;
-  fh_client_t *clients[WAYS];
-  GArray *latencies[WAYS];
-  size_t way;
-  fb_time_t begin;
+  fh_client_t *clients[HOP_COUNTS];
+  GArray *latencies[HOP_COUNTS];
+  size_t hops;
+  fb_time_t start_time;
   fb_time_t sent_at;
-  fb_time_t limit;
+  fb_time_t end_time;
   uint64_t calls;
-  uint64_t bad;
+  uint64_t failed;
   bool parallel;
-  uint64_t open;
+  uint64_t in_flight;
 } bench_t;
 
-static const char *const way_names[WAYS] = { "direct", "one hop", "two hops" };
+static const char *const hop_names[HOP_COUNTS] = { "direct", "one hop", "two hops" };
 
 static GPid
 spawn (bench_t *bench, char **argv)
@@ -85,21 +85,21 @@
 static void send_next (bench_t *bench);
 
 static void
-receive (const fh_response_t *response, void *user)
+handle_response (const fh_response_t *response, void *user)
 {
   bench_t *bench = user;
   fb_time_t now = fb_read_clock (fk_get_clock (bench->kernel));
   fb_time_t latency = now - bench->sent_at;
 
   bench->calls++;
-  bench->open--;
+  bench->in_flight--;
   if (response->result != FH_ANSWERED || response->status != 200)
-    bench->bad++;
+    bench->failed++;
   else if (!bench->parallel && bench->calls > WARM_UP_CALLS)
-    g_array_append_val (bench->latencies[bench->way], latency);
-  if (now < bench->limit)
+    g_array_append_val (bench->latencies[bench->hops], latency);
+  if (now < bench->end_time)
     send_next (bench);
-  else if (bench->open == 0)
+  else if (bench->in_flight == 0)
     fk_quit (bench->kernel);
 }
 
@@ -109,10 +109,10 @@
   fh_client_request_t outgoing
       = { .method = FB_LITERAL ("GET"), .path = FB_LITERAL ("/x?sleep=0") };
 
-  bench->way = bench->parallel ? WAYS - 1 : bench->calls % WAYS;
-  bench->open++;
+  bench->hops = bench->parallel ? HOP_COUNTS - 1 : bench->calls % HOP_COUNTS;
+  bench->in_flight++;
   bench->sent_at = fb_read_clock (fk_get_clock (bench->kernel));
-  fh_send_request (bench->clients[bench->way], &outgoing, receive, bench);
+  fh_send_request (bench->clients[bench->hops], &outgoing, handle_response, bench);
 }
 
 static int
@@ -125,9 +125,9 @@
 }
 
 static double
-read_percentile (GArray *values, double part)
+read_percentile (GArray *values, double fraction)
 {
-  return (double)g_array_index (values, fb_time_t, (guint)(part * (values->len - 1)))
+  return (double)g_array_index (values, fb_time_t, (guint)(fraction * (values->len - 1)))
          / FB_MICROSECOND;
 }
 
@@ -135,10 +135,10 @@
 run_for (bench_t *bench, int seconds, uint64_t parallel)
 {
   bench->calls = 0;
-  bench->bad = 0;
+  bench->failed = 0;
   bench->parallel = parallel > 1;
-  bench->begin = fb_read_clock (fk_get_clock (bench->kernel));
-  bench->limit = bench->begin + seconds * FB_SECOND;
+  bench->start_time = fb_read_clock (fk_get_clock (bench->kernel));
+  bench->end_time = bench->start_time + seconds * FB_SECOND;
   for (uint64_t i = 0; i < parallel; i++)
     send_next (bench);
   fk_run (bench->kernel);
@@ -147,16 +147,17 @@
 static void
 print_latencies (bench_t *bench)
 {
-  for (size_t way = 0; way < WAYS; way++)
-    g_array_sort (bench->latencies[way], compare_times);
-  for (size_t way = 0; way < WAYS; way++)
+  for (size_t hops = 0; hops < HOP_COUNTS; hops++)
+    g_array_sort (bench->latencies[hops], compare_times);
+  for (size_t hops = 0; hops < HOP_COUNTS; hops++)
     {
       double base50 = read_percentile (bench->latencies[0], 0.5);
       double base99 = read_percentile (bench->latencies[0], 0.99);
-      double p50 = read_percentile (bench->latencies[way], 0.5);
-      double p99 = read_percentile (bench->latencies[way], 0.99);
+      double p50 = read_percentile (bench->latencies[hops], 0.5);
+      double p99 = read_percentile (bench->latencies[hops], 0.99);
       printf ("%-9s calls=%u p50_us=%.0f p99_us=%.0f added_p50_us=%.0f added_p99_us=%.0f\n",
-              way_names[way], bench->latencies[way]->len, p50, p99, p50 - base50, p99 - base99);
+              hop_names[hops], bench->latencies[hops]->len, p50, p99, p50 - base50,
+              p99 - base99);
     }
 }
 
@@ -165,7 +166,7 @@
 {
   bench_t bench = { .kernel = fk_create_kernel (NULL) };
   char *published;
-  fb_name_t addresses[WAYS];
+  fb_name_t addresses[HOP_COUNTS];
   GPid entry;
   GPid owner;
   double cpu[2];
@@ -194,25 +195,27 @@
   owner = start_node (&bench, argv[1], 1, "s");
   entry = start_node (&bench, argv[1], 2, "other");
   sleep (6);
-  for (unsigned way = 0; way < WAYS; way++)
+  for (unsigned hops = 0; hops < HOP_COUNTS; hops++)
     {
-      addresses[way] = make_address (&bench, way == 2 ? 2 : 1);
-      bench.clients[way] = fh_create_client (
-          bench.kernel, &addresses[way], way == 0 ? 9100 : 8000, 256, 1 << 20, 10 * FB_SECOND);
-      bench.latencies[way] = g_array_new (FALSE, FALSE, sizeof (fb_time_t));
+      addresses[hops] = make_address (&bench, hops == 2 ? 2 : 1);
+      bench.clients[hops]
+          = fh_create_client (bench.kernel, &addresses[hops], hops == 0 ? 9100 : 8000, 256,
+                              1 << 20, 10 * FB_SECOND);
+      bench.latencies[hops] = g_array_new (FALSE, FALSE, sizeof (fb_time_t));
     }
   run_for (&bench, atoi (argv[4]), 1);
-  printf ("one call at a time, bad=%" G_GUINT64_FORMAT "\n", bench.bad);
-  if (bench.latencies[WAYS - 1]->len == 0)
+  printf ("one call at a time, bad=%" G_GUINT64_FORMAT "\n", bench.failed);
+  if (bench.latencies[HOP_COUNTS - 1]->len == 0)
     g_error ("no call was answered");
   print_latencies (&bench);
   cpu[0] = read_cpu (entry) + read_cpu (owner);
-  run_for (&bench, atoi (argv[4]), PARALLEL);
+  run_for (&bench, atoi (argv[4]), PARALLEL_CALLS);
   cpu[1] = read_cpu (entry) + read_cpu (owner);
-  seconds = (double)(fb_read_clock (fk_get_clock (bench.kernel)) - bench.begin) / FB_SECOND;
+  seconds
+      = (double)(fb_read_clock (fk_get_clock (bench.kernel)) - bench.start_time) / FB_SECOND;
   printf ("%d at once, two hops: calls_s=%.0f bad=%" G_GUINT64_FORMAT
           " cpu_us_call_both_nodes=%.1f calls_s_per_core=%.0f\n",
-          PARALLEL, (double)bench.calls / seconds, bench.bad,
+          PARALLEL_CALLS, (double)bench.calls / seconds, bench.failed,
           (cpu[1] - cpu[0]) * 1e6 / (double)bench.calls,
           (double)bench.calls / (cpu[1] - cpu[0]));
   for (size_t i = 0; i < bench.pid_count; i++)
--- a/bench/fleet-bench.c
+++ b/bench/fleet-bench.c
@@ -1,10 +1,10 @@
-/* Convergence, control traffic, processor time and memory of real nodes on loopback.
+/* Measures convergence, control traffic, processor time and memory of real nodes on loopback.
  *
  * Usage: fleet-bench DAEMON PLATFORM NODES DOCUMENT_KB CHANGES
  * Starts the platform stand-in and NODES nodes without backend servers over 8 zones in 4
  * regions, waits until all are ready, measures an idle window and a window with one change a
- * second, then single changes under faults. Convergence is read from the nodes' logs, whose
- * times come from the host's one monotonic clock. */
+ * second, then single changes under faults. Convergence is read from the logs of the nodes,
+ * whose times all come from the monotonic clock of the host. */
 #include "process.h"
 #include <foxtailrun/http/client.h>
 #include <glib.h>
@@ -19,12 +19,12 @@
 #define SERVICES 130
 #define ROUTES_MAX 3900
 
-/* Bytes of a route without its padding; large documents pad the paths to stay below the limit
- * on routes. */
+/* Bytes of a route without padding. Large documents pad the paths, so that the number of routes
+ * stays within its limit. */
 #define ROUTE_BYTES 110
 #define WINDOW_S 20
-#define READY_LIMIT_S 120
-#define SETTLE_S 8
+#define READY_TIMEOUT_S 120
+#define SETTLE_TIME_S 8
 
 typedef struct
 {
@@ -40,10 +40,10 @@
   GPid nodes[NODES_MAX];
   bool alive[NODES_MAX];
   bool started[NODES_MAX];
-  unsigned net;
+  unsigned loopback_net;
 } bench_t;
 
-/* Totals over all live nodes at one moment. */
+/* Totals of all running nodes at one time. */
 typedef struct
 {
   double cpu_s;
@@ -59,7 +59,8 @@
 {
   char text[32];
 
-  g_snprintf (text, sizeof text, "127.%u.%zu.%zu", bench->net, 1 + host / 200, 1 + host % 200);
+  g_snprintf (text, sizeof text, "127.%u.%zu.%zu", bench->loopback_net, 1 + host / 200,
+              1 + host % 200);
   return fb_make_name (text);
 }
 
@@ -102,15 +103,15 @@
   g_free (path);
 }
 
-/* Publishes the next version: routes over all services up to the wanted size, one of which
- * changes. */
+/* Publishes the next version, in which one route differs, and returns the time in us. */
 static gint64
 publish (bench_t *bench)
 {
   GString *text = g_string_new ("");
   char *path = g_build_filename (bench->published, "config.toml", NULL);
   gint64 at;
-  int pad = (int)MAX (bench->document_bytes / ROUTES_MAX, ROUTE_BYTES + 1) - ROUTE_BYTES;
+  int path_padding
+      = (int)MAX (bench->document_bytes / ROUTES_MAX, ROUTE_BYTES + 1) - ROUTE_BYTES;
 
   bench->version++;
   g_string_append_printf (text, "version = %" G_GUINT64_FORMAT "\n", bench->version);
@@ -122,7 +123,7 @@
     g_string_append_printf (text,
                             "[[route]]\nname = \"route-%zu\"\npath = \"/route-%zu/%0*d\"\n"
                             "service = \"service-%zu\"\nrank = \"urgent\"\ntimeout_ms = %zu\n",
-                            i, i, pad, 0, i % SERVICES,
+                            i, i, path_padding, 0, i % SERVICES,
                             1000 + (i == bench->version % 100 ? (size_t)bench->version : 0));
   at = g_get_monotonic_time ();
   g_file_set_contents (path, text->str, (gssize)text->len, NULL);
@@ -134,17 +135,17 @@
 typedef struct
 {
   bench_t *bench;
-  bool ended;
+  bool done;
   char *body;
   uint32_t status;
 } fetch_t;
 
 static void
-receive (const fh_response_t *response, void *user)
+handle_response (const fh_response_t *response, void *user)
 {
   fetch_t *fetch = user;
 
-  fetch->ended = true;
+  fetch->done = true;
   fetch->status = response->status;
   fetch->body
       = fb_copy_text ((fb_str_t){ (const char *)response->body.data, response->body.len });
@@ -161,8 +162,8 @@
       = { .method = FB_LITERAL ("GET"), .path = fb_wrap_text (path), .new_connection = true };
   fetch_t fetch = { .bench = bench };
 
-  fh_send_request (client, &outgoing, receive, &fetch);
-  while (!fetch.ended)
+  fh_send_request (client, &outgoing, handle_response, &fetch);
+  while (!fetch.done)
     fk_run (bench->kernel);
   fh_destroy_client (client);
   if (status)
@@ -173,7 +174,7 @@
 static void
 wait_ready (bench_t *bench)
 {
-  gint64 limit = g_get_monotonic_time () + (gint64)READY_LIMIT_S * G_USEC_PER_SEC;
+  gint64 limit = g_get_monotonic_time () + (gint64)READY_TIMEOUT_S * G_USEC_PER_SEC;
 
   for (size_t i = 0; i < bench->count;)
     {
@@ -191,7 +192,7 @@
           continue;
         }
       if (g_get_monotonic_time () > limit)
-        g_error ("node-%zu is not ready after %d s", i, READY_LIMIT_S);
+        g_error ("node-%zu is not ready after %d s", i, READY_TIMEOUT_S);
       g_usleep (50000);
     }
 }
@@ -214,7 +215,7 @@
   return kilobytes / 1024;
 }
 
-/* Adds the values of all metrics whose line starts with PREFIX. */
+/* Returns the sum of all metrics in TEXT whose line starts with PREFIX. */
 static uint64_t
 sum_metric (const char *text, const char *prefix)
 {
@@ -235,7 +236,7 @@
 read_usage (bench_t *bench)
 {
   usage_t usage = { 0 };
-  size_t live = 0;
+  size_t alive_count = 0;
   char *text;
 
   for (size_t i = 0; i < bench->count; i++)
@@ -254,9 +255,9 @@
       rss = read_rss_mb (bench->nodes[i]);
       usage.rss_mb += rss;
       usage.rss_max_mb = MAX (usage.rss_max_mb, rss);
-      live++;
+      alive_count++;
     }
-  usage.rss_mb /= (double)live;
+  usage.rss_mb /= (double)alive_count;
   text = fetch_text (bench, 399, 8500, "/standin/calls", NULL);
   usage.source_calls = g_ascii_strtoull (text, NULL, 10);
   g_free (text);
@@ -279,12 +280,12 @@
   fflush (stdout);
 }
 
-/* Returns the time in ms at which node INDEX put VERSION in force, or -1. */
+/* Returns the time in ms at which node INDEX applied VERSION, or -1. */
 static double
 read_applied (bench_t *bench, size_t index, uint64_t version)
 {
   char *path = g_strdup_printf ("%s/node-%zu.log", bench->folder, index);
-  char *mark = g_strdup_printf ("version=%" G_GUINT64_FORMAT "@", version);
+  char *version_field = g_strdup_printf ("version=%" G_GUINT64_FORMAT "@", version);
   char *text = NULL;
   double at = -1;
 
@@ -293,13 +294,13 @@
       char **lines = g_strsplit (text, "\n", -1);
       for (char **line = lines; *line && at < 0; line++)
         {
-          if (strstr (*line, "configuration in force") && strstr (*line, mark))
+          if (strstr (*line, "configuration in force") && strstr (*line, version_field))
             at = strtod (*line + strlen ("ms="), NULL);
         }
       g_strfreev (lines);
     }
   g_free (text);
-  g_free (mark);
+  g_free (version_field);
   g_free (path);
   return at;
 }
@@ -313,8 +314,8 @@
   return left < right ? -1 : left > right;
 }
 
-/* Adds the delays of all live nodes from the publication of VERSION at AT_US; returns how many
- * lack it. */
+/* Adds the delays of all running nodes since the publication of VERSION at AT_US; returns the
+ * number of nodes that have not applied it. */
 static size_t
 add_delays (bench_t *bench, uint64_t version, gint64 at_us, GArray *delays)
 {
@@ -370,7 +371,7 @@
     }
   to = read_usage (bench);
   print_usage (bench, "one change a second", &from, &to);
-  sleep (SETTLE_S);
+  sleep (SETTLE_TIME_S);
   for (size_t i = 0; i < changes; i++)
     missing += add_delays (bench, first + i, published[i], delays);
   print_delays (bench, "one change a second", delays, missing);
@@ -387,10 +388,11 @@
   bench->alive[index] = false;
 }
 
-/* Publishes one change at the moment of a fault and reports the delays of the surviving nodes.
+/* Publishes one change, kills the selected nodes at once and prints the delays of the others.
  */
 static void
-measure_fault (bench_t *bench, const char *name, bool (*is_hit) (bench_t *bench, size_t index))
+measure_fault (bench_t *bench, const char *name,
+               bool (*is_selected) (bench_t *bench, size_t index))
 {
   GArray *delays = g_array_new (FALSE, FALSE, sizeof (double));
   gint64 at = publish (bench);
@@ -398,10 +400,10 @@
 
   for (size_t i = 0; i < bench->count; i++)
     {
-      if (is_hit (bench, i))
+      if (is_selected (bench, i))
         kill_node (bench, i);
     }
-  sleep (SETTLE_S + 4);
+  sleep (SETTLE_TIME_S + 4);
   missing = add_delays (bench, bench->version, at, delays);
   print_delays (bench, name, delays, missing);
   g_array_free (delays, TRUE);
@@ -414,19 +416,19 @@
 }
 
 static bool
-hit_none (bench_t *bench, size_t index)
+select_none (bench_t *bench, size_t index)
 {
   return false;
 }
 
 static bool
-hit_zone (bench_t *bench, size_t index)
+select_zone (bench_t *bench, size_t index)
 {
   return index % ZONES == 3;
 }
 
 static bool
-hit_readers (bench_t *bench, size_t index)
+select_readers (bench_t *bench, size_t index)
 {
   char *text = fetch_text (bench, index, 9000, "/version", NULL);
   bool reader = strstr (text, "\"reader\":true") != NULL;
@@ -436,7 +438,7 @@
 }
 
 static bool
-hit_fifth (bench_t *bench, size_t index)
+select_fifth (bench_t *bench, size_t index)
 {
   return index % 5 == 2;
 }
@@ -455,17 +457,17 @@
 {
   fb_name_t address = make_address (bench, 399);
   char *argv[] = { (char *)bench->platform_path, address.data, "8500", bench->published, NULL };
-  gint64 begin;
+  gint64 start_time;
 
   publish (bench);
   bench->platform = spawn (bench, argv, "platform.log");
   g_usleep (200000);
-  begin = g_get_monotonic_time ();
+  start_time = g_get_monotonic_time ();
   for (size_t i = 0; i < bench->count; i++)
     start_node (bench, i);
   wait_ready (bench);
   printf ("%-22s nodes=%-3zu all_ready_s=%.1f\n", "cold start of all", bench->count,
-          (double)(g_get_monotonic_time () - begin) / G_USEC_PER_SEC);
+          (double)(g_get_monotonic_time () - start_time) / G_USEC_PER_SEC);
 }
 
 int
@@ -488,18 +490,18 @@
   bench.folder = g_dir_make_tmp ("foxtailrun-bench-XXXXXX", NULL);
   bench.published = g_build_filename (bench.folder, "published", NULL);
   g_mkdir (bench.published, 0700);
-  bench.net = 20 + (unsigned)getpid () % 60;
+  bench.loopback_net = 20 + (unsigned)getpid () % 60;
   start_all (&bench);
-  sleep (SETTLE_S);
+  sleep (SETTLE_TIME_S);
   from = read_usage (&bench);
   sleep (WINDOW_S);
   to = read_usage (&bench);
   print_usage (&bench, "idle", &from, &to);
   measure_changes (&bench, (size_t)atoi (argv[5]));
-  measure_fault (&bench, "one change", hit_none);
-  measure_fault (&bench, "readers killed", hit_readers);
-  measure_fault (&bench, "a zone killed", hit_zone);
-  measure_fault (&bench, "a fifth killed", hit_fifth);
+  measure_fault (&bench, "one change", select_none);
+  measure_fault (&bench, "readers killed", select_readers);
+  measure_fault (&bench, "a zone killed", select_zone);
+  measure_fault (&bench, "a fifth killed", select_fifth);
   stop_all (&bench);
   return 0;
 }
--- a/bench/process.c
+++ b/bench/process.c
@@ -9,7 +9,7 @@
 #include <unistd.h>
 
 static void
-follow_parent (gpointer user)
+end_with_parent (gpointer user)
 {
   prctl (PR_SET_PDEATHSIG, SIGKILL);
 }
@@ -21,8 +21,8 @@
   GError *error = NULL;
   int output = g_open (log, O_CREAT | O_WRONLY | O_TRUNC, 0600);
 
-  if (!g_spawn_async_with_fds (NULL, argv, NULL, G_SPAWN_DO_NOT_REAP_CHILD, follow_parent, NULL,
-                               &pid, -1, output, output, &error))
+  if (!g_spawn_async_with_fds (NULL, argv, NULL, G_SPAWN_DO_NOT_REAP_CHILD, end_with_parent,
+                               NULL, &pid, -1, output, output, &error))
     g_error ("%s", error->message);
   close (output);
   return pid;
--- a/bench/process.h
+++ b/bench/process.h
@@ -4,8 +4,8 @@
 
 #include <glib.h>
 
-/* Starts ARGV with its output in file LOG; the process ends with the benchmark. Stops the
- * benchmark when it cannot. */
+/* Starts ARGV with its output in file LOG. The process is killed when the benchmark ends; a
+ * failed start aborts the benchmark. */
 GPid start_process (char **argv, const char *log);
 
 /* Kills process PID and waits for its end. */
@@ -15,7 +15,7 @@
  * the tick-based times of /proc/PID/stat overstate processes that are woken by timers. */
 double read_cpu (GPid pid);
 
-/* Removes FOLDER with all that is in it. */
+/* Removes FOLDER and its contents. */
 void remove_folder (const char *folder);
 
 #endif
--- a/bench/sim-heap.c
+++ b/bench/sim-heap.c
@@ -12,12 +12,12 @@
 sim_push_event (sim_heap_t *heap, fb_time_t time, int kind, void *data)
 {
   size_t at = heap->count++;
-  sim_event_t event = { time, heap->pushed++, kind, data };
+  sim_event_t event = { time, heap->next_order++, kind, data };
 
-  if (heap->count > heap->room)
+  if (heap->count > heap->capacity)
     {
-      heap->room = MAX (1024, heap->room * 2);
-      heap->events = g_renew (sim_event_t, heap->events, heap->room);
+      heap->capacity = MAX (1024, heap->capacity * 2);
+      heap->events = g_renew (sim_event_t, heap->events, heap->capacity);
     }
   while (at > 0 && is_before (&event, &heap->events[(at - 1) / 2]))
     {
--- a/bench/sim-service.c
+++ b/bench/sim-service.c
@@ -1,21 +1,21 @@
-/* The fake service: events, callers and instances. */
+/* The simulated service: events, callers and instances. */
 #include "sim-service.h"
 #include "sim-heap.h"
 #include <foxtailrun/call/retry.h>
 #include <math.h>
 
-#define WARM_UP (3 * FB_SECOND)
-#define MEASURED (10 * FB_SECOND)
-#define TICK (10 * FB_MILLISECOND)
+#define WARM_UP_TIME (3 * FB_SECOND)
+#define MEASURED_TIME (10 * FB_SECOND)
+#define TICK_INTERVAL (10 * FB_MILLISECOND)
 
-/* One way between two nodes in one zone and in different zones. */
-#define NEAR_DELAY (150 * FB_MICROSECOND)
-#define FAR_DELAY (500 * FB_MICROSECOND)
+/* One-way delays between two nodes of the same zone and of different zones. */
+#define SAME_ZONE_DELAY (150 * FB_MICROSECOND)
+#define CROSS_ZONE_DELAY (500 * FB_MICROSECOND)
 
 #define ZONES 3
-#define RETRIES 2
+#define RETRIES_MAX 2
 
-/* Time that a failing instance takes to fail. */
+/* Time until a failing instance fails a call. */
 #define FAILURE_TIME FB_MILLISECOND
 
 const sim_rank_t SIM_RANK_TABLE[SIM_RANKS] = {
@@ -34,7 +34,7 @@
   EVENT_FLOOD,
   EVENT_OFFER,
   EVENT_FINISH,
-  EVENT_ANSWER,
+  EVENT_RESPONSE,
   EVENT_TICK
 };
 
@@ -45,14 +45,14 @@
   uint32_t customer;
   fb_name_t customer_name;
   uint32_t entry;
-  uint32_t target; /* instance of the present attempt */
-  uint32_t tries;
-  fb_name_t tried[RETRIES + 1];
+  uint32_t target; /* instance of the current attempt */
+  uint32_t attempt_count;
+  fb_name_t attempted[RETRIES_MAX + 1];
   fb_time_t arrived;
   fb_time_t sent;
-  fb_time_t work; /* service time on a healthy instance */
-  fb_time_t slot; /* time in the slot */
-  uint32_t load;  /* as the answer carries it */
+  fb_time_t service_time; /* on a healthy instance */
+  fb_time_t slot_time;    /* time that it occupies a slot */
+  uint32_t load;          /* as reported in the response */
   fr_result_t result;
 } call_t;
 
@@ -64,7 +64,7 @@
   uint32_t index;
   fw_member_t member;
   fr_admission_t *admission;
-  /* of the entry node beside it */
+  /* of the entry node on this host */
   fr_picker_t *picker;
   fr_retry_budget_t *budget;
   fr_throttle_t *throttle;
@@ -78,7 +78,8 @@
   fb_clock_t *clock;
   fb_counters_t *counters;
   GRand *random;
-  /* Arrivals of each rank have their own numbers: they are the same in all scenarios. */
+  /* Each rank draws its arrivals from its own generator, so that they are the same in all
+   * scenarios. */
   GRand *arrivals[SIM_RANKS + 1];
   sim_heap_t heap;
   host_t hosts[SIM_INSTANCES_MAX];
@@ -97,22 +98,22 @@
 static fb_time_t
 get_delay (const sim_t *sim, const call_t *call)
 {
-  return call->entry % ZONES == call->target % ZONES ? NEAR_DELAY : FAR_DELAY;
+  return call->entry % ZONES == call->target % ZONES ? SAME_ZONE_DELAY : CROSS_ZONE_DELAY;
 }
 
-/* Calls are counted when they arrive, and again when they are answered: each in the measured
- * time, so that a long queue at its end does not look like lost work. */
+/* Arrivals and responses are counted independently within the measured time, so that calls
+ * still queued at its end do not count as lost. */
 static bool
 is_measured (const sim_t *sim)
 {
-  return fb_read_clock (sim->clock) >= WARM_UP;
+  return fb_read_clock (sim->clock) >= WARM_UP_TIME;
 }
 
 static void
-send_answer (sim_t *sim, call_t *call)
+send_response (sim_t *sim, call_t *call)
 {
-  sim_push_event (&sim->heap, fb_read_clock (sim->clock) + get_delay (sim, call), EVENT_ANSWER,
-                  call);
+  sim_push_event (&sim->heap, fb_read_clock (sim->clock) + get_delay (sim, call),
+                  EVENT_RESPONSE, call);
 }
 
 static void
@@ -123,15 +124,15 @@
   call_t *call = data;
 
   call->result = FR_RESULT_ANSWERED;
-  call->slot = call->work;
+  call->slot_time = call->service_time;
   if (host->index == 0 && sim->scenario->slowness > 0)
-    call->slot = (fb_time_t)((double)call->work * sim->scenario->slowness);
+    call->slot_time = (fb_time_t)((double)call->service_time * sim->scenario->slowness);
   if (host->index == 1 && g_rand_double (sim->random) < sim->scenario->failure)
     {
       call->result = FR_RESULT_FAILED;
-      call->slot = FAILURE_TIME;
+      call->slot_time = FAILURE_TIME;
     }
-  sim_push_event (&sim->heap, fb_read_clock (sim->clock) + call->slot, EVENT_FINISH, call);
+  sim_push_event (&sim->heap, fb_read_clock (sim->clock) + call->slot_time, EVENT_FINISH, call);
 }
 
 static void
@@ -142,10 +143,10 @@
 
   call->result = FR_RESULT_REFUSED;
   call->load = fr_get_load (host->admission);
-  send_answer (host->sim, call);
+  send_response (host->sim, call);
 }
 
-/* Makes the next attempt; returns false when the call ends without one. */
+/* Sends the next attempt of CALL; returns false if there is none, which ends the call. */
 static bool
 send_attempt (sim_t *sim, call_t *call)
 {
@@ -156,10 +157,10 @@
       && !fr_admit_customer (entry->throttle, service_name, call->rank,
                              fb_get_name (&call->customer_name)))
     return false;
-  if (!fr_pick_ranked (entry->picker, service_name, call->rank, FB_LITERAL (""), call->tried,
-                       call->tries, &picked))
+  if (!fr_pick_ranked (entry->picker, service_name, call->rank, FB_LITERAL (""),
+                       call->attempted, call->attempt_count, &picked))
     return false;
-  call->tried[call->tries++] = picked;
+  call->attempted[call->attempt_count++] = picked;
   for (uint32_t i = 0; i < sim->deployment->instances; i++)
     if (fb_equal_name (&sim->hosts[i].member.id, &picked))
       call->target = i;
@@ -187,31 +188,31 @@
 
   fr_finish_call (host->admission, call->id);
   call->load = fr_get_load (host->admission);
-  send_answer (sim, call);
+  send_response (sim, call);
 }
 
-/* Counts a good answer if it came in time. */
+/* Counts a successful response if it arrived before the deadline. */
 static void
-count_answer (sim_t *sim, const call_t *call)
+count_response (sim_t *sim, const call_t *call)
 {
   const sim_rank_t *rank = &SIM_RANK_TABLE[call->rank];
   sim_rank_result_t *result = &sim->result->ranks[call->rank];
   fb_time_t latency = fb_read_clock (sim->clock) - call->arrived;
-  double sample = (double)latency;
+  double latency_ns = (double)latency;
 
   if (!is_measured (sim) || latency > rank->deadline)
     return;
-  result->good++;
+  result->answered++;
   if (latency <= rank->target)
     result->in_target++;
-  result->slot_time += (double)call->slot;
-  g_array_append_val (result->latencies, sample);
+  result->slot_time += (double)call->slot_time;
+  g_array_append_val (result->latencies, latency_ns);
   if (call->rank == SIM_FLOODED_RANK && call->customer != 0)
-    sim->result->others_good++;
+    sim->result->others_answered++;
 }
 
 static void
-take_answer (sim_t *sim, call_t *call)
+handle_response (sim_t *sim, call_t *call)
 {
   host_t *entry = &sim->hosts[call->entry];
   const sim_rank_t *rank = &SIM_RANK_TABLE[call->rank];
@@ -224,17 +225,18 @@
     fr_report_customer (entry->throttle, service_name, call->rank,
                         fb_get_name (&call->customer_name), call->result != FR_RESULT_REFUSED);
   if (call->result == FR_RESULT_ANSWERED)
-    count_answer (sim, call);
+    count_response (sim, call);
   else
     outcome = call->result == FR_RESULT_REFUSED ? FW_NOT_RUN : FW_FAILED;
-  if (sim->policy->throttle && call->tries <= RETRIES && now < call->arrived + rank->deadline
+  if (sim->policy->throttle && call->attempt_count <= RETRIES_MAX
+      && now < call->arrived + rank->deadline
       && fr_is_retry_safe (outcome, rank->repeatable, false)
       && fr_withdraw_retry (entry->budget, service_name, 0) && send_attempt (sim, call))
     return;
   g_free (call);
 }
 
-/* Lets one call of RANK arrive, of CUSTOMER. */
+/* Adds the arrival of a call of RANK and CUSTOMER. */
 static void
 add_call (sim_t *sim, GRand *random, uint32_t rank, uint32_t customer)
 {
@@ -249,7 +251,7 @@
   call->customer = customer;
   call->entry = (uint32_t)g_rand_int_range (random, 0, (gint32)sim->deployment->instances);
   call->arrived = fb_read_clock (sim->clock);
-  call->work = (fb_time_t)(mean / 4) + draw_exponential (random, mean * 3 / 4);
+  call->service_time = (fb_time_t)(mean / 4) + draw_exponential (random, mean * 3 / 4);
   if (is_measured (sim))
     {
       sim->result->ranks[rank].offered++;
@@ -261,16 +263,17 @@
     g_free (call);
 }
 
-/* Plans the next arrival of a stream with LOAD of RANK. */
+/* Schedules the next arrival of a stream of RANK with LOAD. */
 static void
-plan_arrival (sim_t *sim, GRand *random, int kind, uint32_t rank, double load)
+schedule_arrival (sim_t *sim, GRand *random, int kind, uint32_t rank, double load)
 {
   uint32_t slots = sim->deployment->instances * sim->deployment->slots;
-  double gap = (double)SIM_RANK_TABLE[rank].service / (load * slots);
+  double mean_interval = (double)SIM_RANK_TABLE[rank].service / (load * slots);
 
   if (load > 0)
-    sim_push_event (&sim->heap, fb_read_clock (sim->clock) + draw_exponential (random, gap),
-                    kind, GUINT_TO_POINTER (rank));
+    sim_push_event (&sim->heap,
+                    fb_read_clock (sim->clock) + draw_exponential (random, mean_interval), kind,
+                    GUINT_TO_POINTER (rank));
 }
 
 static double
@@ -290,12 +293,12 @@
     case EVENT_ARRIVE:
       random = sim->arrivals[rank];
       add_call (sim, random, rank, (uint32_t)g_rand_int_range (random, 0, SIM_CUSTOMERS));
-      plan_arrival (sim, random, EVENT_ARRIVE, rank, get_load (sim, rank));
+      schedule_arrival (sim, random, EVENT_ARRIVE, rank, get_load (sim, rank));
       break;
     case EVENT_FLOOD:
       random = sim->arrivals[SIM_RANKS];
       add_call (sim, random, rank, 0);
-      plan_arrival (sim, random, EVENT_FLOOD, rank, sim->scenario->customer_flood);
+      schedule_arrival (sim, random, EVENT_FLOOD, rank, sim->scenario->customer_flood);
       break;
     case EVENT_OFFER:
       offer_call (sim, event->data);
@@ -303,13 +306,13 @@
     case EVENT_FINISH:
       finish_call (sim, event->data);
       break;
-    case EVENT_ANSWER:
-      take_answer (sim, event->data);
+    case EVENT_RESPONSE:
+      handle_response (sim, event->data);
       break;
     default:
       for (uint32_t i = 0; i < sim->deployment->instances; i++)
         fr_tick_admission (sim->hosts[i].admission);
-      sim_push_event (&sim->heap, event->time + TICK, EVENT_TICK, NULL);
+      sim_push_event (&sim->heap, event->time + TICK_INTERVAL, EVENT_TICK, NULL);
       break;
     }
 }
@@ -318,10 +321,11 @@
 create_hosts (sim_t *sim)
 {
   uint32_t count = sim->deployment->instances;
-  fr_rank_options_t rules[SIM_RANKS];
+  fr_rank_options_t rank_options[SIM_RANKS];
 
   for (int i = 0; i < SIM_RANKS; i++)
-    rules[i] = (fr_rank_options_t){ SIM_RANK_TABLE[i].share, SIM_RANK_TABLE[i].target, 0 };
+    rank_options[i]
+        = (fr_rank_options_t){ SIM_RANK_TABLE[i].share, SIM_RANK_TABLE[i].target, 0 };
   for (uint32_t i = 0; i < count; i++)
     {
       host_t *host = &sim->hosts[i];
@@ -337,7 +341,7 @@
       host->member.region = fb_make_name ("region");
       host->member.service = fb_make_name (service_name.data);
       host->admission
-          = fr_create_admission (sim->policy->admission, sim->deployment->slots, rules,
+          = fr_create_admission (sim->policy->admission, sim->deployment->slots, rank_options,
                                  SIM_RANKS, sim->clock, sim->counters, &hooks);
     }
   for (uint32_t i = 0; i < count; i++)
@@ -372,10 +376,10 @@
 
   while (sim_pop_event (&sim->heap, &event))
     {
-      if (event.time >= WARM_UP + MEASURED)
+      if (event.time >= WARM_UP_TIME + MEASURED_TIME)
         {
           if (event.kind == EVENT_OFFER || event.kind == EVENT_FINISH
-              || event.kind == EVENT_ANSWER)
+              || event.kind == EVENT_RESPONSE)
             g_free (event.data);
           continue;
         }
@@ -397,15 +401,15 @@
   for (uint32_t i = 0; i <= SIM_RANKS; i++)
     sim.arrivals[i] = g_rand_new_with_seed (seed * 100 + i);
   sim.result = &result;
-  result.seconds = (double)MEASURED / (double)FB_SECOND;
-  result.capacity = (double)MEASURED * deployment->instances * deployment->slots;
+  result.seconds = (double)MEASURED_TIME / (double)FB_SECOND;
+  result.capacity = (double)MEASURED_TIME * deployment->instances * deployment->slots;
   for (uint32_t i = 0; i < SIM_RANKS; i++)
     result.ranks[i].latencies = g_array_new (FALSE, FALSE, sizeof (double));
   create_hosts (&sim);
   for (uint32_t i = 0; i < SIM_RANKS; i++)
-    plan_arrival (&sim, sim.arrivals[i], EVENT_ARRIVE, i, get_load (&sim, i));
-  plan_arrival (&sim, sim.arrivals[SIM_RANKS], EVENT_FLOOD, SIM_FLOODED_RANK,
-                scenario->customer_flood);
+    schedule_arrival (&sim, sim.arrivals[i], EVENT_ARRIVE, i, get_load (&sim, i));
+  schedule_arrival (&sim, sim.arrivals[SIM_RANKS], EVENT_FLOOD, SIM_FLOODED_RANK,
+                    scenario->customer_flood);
   sim_push_event (&sim.heap, 0, EVENT_TICK, NULL);
   run_events (&sim);
   destroy_hosts (&sim);
--- a/bench/sim-service.h
+++ b/bench/sim-service.h
@@ -1,5 +1,5 @@
-/* A small fake of one service on a manual clock: callers, entry nodes with the real picker,
- * budget and throttle, and instances with the real admission. */
+/* A simulation of one service on a manual clock: simulated callers, entry nodes with the real
+ * picker, retry budget and throttle, and instances with the real admission. */
 #ifndef FOXTAILRUN_BENCH_SIM_SERVICE_H
 #define FOXTAILRUN_BENCH_SIM_SERVICE_H
 
@@ -19,7 +19,7 @@
   uint32_t slots;
 } sim_deployment_t;
 
-/* What the callers and the instances do. Loads are parts of the capacity in slot time. */
+/* Behaviour of callers and instances. Loads are fractions of the capacity in slot time. */
 typedef struct
 {
   const char *name;
@@ -27,10 +27,10 @@
   double flood[SIM_RANKS]; /* load added to a rank */
   double customer_flood;   /* load that customer 0 adds to SIM_FLOODED_RANK */
   double slowness;         /* service time of instance 0 relative to the others */
-  double failure;          /* part of the calls that instance 1 fails at once */
+  double failure;          /* fraction of its calls that instance 1 fails at once */
 } sim_scenario_t;
 
-/* The rank in which one customer floods. */
+/* The rank in which customer 0 sends its flood. */
 #define SIM_FLOODED_RANK 1
 
 typedef struct
@@ -49,30 +49,30 @@
   fb_time_t deadline; /* ns after the arrival */
   double worth;
   double share;
-  double load; /* part of the capacity in the steady state */
+  double load; /* fraction of the capacity in the steady state */
   bool repeatable;
 } sim_rank_t;
 
 extern const sim_rank_t SIM_RANK_TABLE[SIM_RANKS];
 
-/* What was measured of one rank. */
+/* Results of one rank. */
 typedef struct
 {
   uint64_t offered;
-  uint64_t good;      /* answered before the deadline */
+  uint64_t answered;  /* answered before the deadline */
   uint64_t in_target; /* answered within the target */
-  double slot_time;   /* ns of slots spent on calls that were good */
-  GArray *latencies;  /* double, ns, of the good ones */
+  double slot_time;   /* ns, of calls answered before the deadline */
+  GArray *latencies;  /* double, ns, of calls answered before the deadline */
 } sim_rank_result_t;
 
 typedef struct
 {
   sim_rank_result_t ranks[SIM_RANKS];
   uint64_t others_offered; /* in SIM_FLOODED_RANK, by customers other than 0 */
-  uint64_t others_good;
+  uint64_t others_answered;
   uint64_t attempts; /* sent to instances */
-  double capacity;   /* ns of slot time that was there */
-  double seconds;    /* measured */
+  double capacity;   /* slot time available, ns */
+  double seconds;    /* length of the measurement */
 } sim_result_t;
 
 /* Runs SCENARIO; the result is freed by sim_clear_result. */
@@ -80,7 +80,7 @@
                               const sim_scenario_t *scenario, const sim_policy_t *policy,
                               uint32_t seed);
 
-/* Frees what RESULT holds. */
+/* Frees the latencies of RESULT. */
 void sim_clear_result (sim_result_t *result);
 
 /* Returns the given QUANTILE of the latencies of RANK in ms; 0 without any. */
