--- a/fuzz/fuzz-call.c
+++ b/fuzz/fuzz-call.c
@@ -1,12 +1,12 @@
-/* Fuzz target: decoding of call messages, and the round trip of what decodes. The first two
- * bytes are the length of the header frame, the rest is the body frame. */
+/* Fuzz target: decoding of call messages, and the round trip of valid ones. The first two bytes
+ * are the length of the header frame, which follows them; the rest is the body frame. */
 #include "fuzz.h"
 #include <foxtailrun/wire/call.h>
 #include <glib.h>
 #include <string.h>
 
 static void
-check_same (const fw_call_t *a, const fw_call_t *b)
+check_equal (const fw_call_t *a, const fw_call_t *b)
 {
   FUZZ_CHECK (a->kind == b->kind);
   FUZZ_CHECK (a->id == b->id);
@@ -36,26 +36,26 @@
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
-  static fw_call_t first;
-  static fw_call_t second;
+  static fw_call_t decoded;
+  static fw_call_t redecoded;
   fb_bytes_t header;
   fb_bytes_t body;
   uint8_t *encoded;
-  uint8_t *again;
+  uint8_t *reencoded;
   size_t encoded_len;
-  size_t again_len;
+  size_t reencoded_len;
 
   fuzz_split_input (data, size, &header, &body);
-  if (fw_decode_call (header, body, &first) != FB_OK)
+  if (fw_decode_call (header, body, &decoded) != FB_OK)
     return 0;
-  FUZZ_CHECK (first.header_count <= FW_HEADERS_MAX);
-  FUZZ_CHECK (first.body.len == body.len);
-  encoded = fw_encode_call (&first, &encoded_len);
-  FUZZ_CHECK (fw_decode_call ((fb_bytes_t){ encoded, encoded_len }, body, &second) == FB_OK);
-  check_same (&first, &second);
-  again = fw_encode_call (&second, &again_len);
-  FUZZ_CHECK (again_len == encoded_len && memcmp (again, encoded, again_len) == 0);
-  g_free (again);
+  FUZZ_CHECK (decoded.header_count <= FW_HEADERS_MAX);
+  FUZZ_CHECK (decoded.body.len == body.len);
+  encoded = fw_encode_call (&decoded, &encoded_len);
+  FUZZ_CHECK (fw_decode_call ((fb_bytes_t){ encoded, encoded_len }, body, &redecoded) == FB_OK);
+  check_equal (&decoded, &redecoded);
+  reencoded = fw_encode_call (&redecoded, &reencoded_len);
+  FUZZ_CHECK (reencoded_len == encoded_len && memcmp (reencoded, encoded, reencoded_len) == 0);
+  g_free (reencoded);
   g_free (encoded);
   return 0;
 }
--- a/fuzz/fuzz-delta.c
+++ b/fuzz/fuzz-delta.c
@@ -1,6 +1,6 @@
 /* Fuzz target: decoding of compressed documents, and the round trip. The first two bytes are
- * the length of the base; the rest is taken as a frame and, if no frame decodes, as a document.
- */
+ * the length of the base, which follows them. The rest is decoded as a frame; if it is not a
+ * valid one, it is used as the document. */
 #include "fuzz.h"
 #include <foxtailrun/config/delta.h>
 #include <foxtailrun/config/snapshot.h>
--- a/fuzz/fuzz-document.c
+++ b/fuzz/fuzz-document.c
@@ -3,7 +3,7 @@
 #include <foxtailrun/config/snapshot.h>
 #include <string.h>
 
-/* Every reference of an accepted document leads to an element of it. */
+/* Checks that every reference of an accepted document resolves to one of its elements. */
 static void
 check_references (const fc_snapshot_t *snapshot)
 {
@@ -39,13 +39,13 @@
 {
   fc_problems_t *problems = fc_create_problems ();
   fc_snapshot_t *snapshot = fc_check_document ((fb_bytes_t){ data, size }, problems);
-  fb_bytes_t kept;
+  fb_bytes_t document;
 
   FUZZ_CHECK ((snapshot == NULL) == (fc_count_problems (problems) > 0));
   if (snapshot)
     {
-      kept = fc_get_document (snapshot);
-      FUZZ_CHECK (kept.len == size && memcmp (kept.data, data, size) == 0);
+      document = fc_get_document (snapshot);
+      FUZZ_CHECK (document.len == size && memcmp (document.data, data, size) == 0);
       FUZZ_CHECK (fc_get_version_number (snapshot) >= 1);
       check_references (snapshot);
     }
--- a/fuzz/fuzz-feed.c
+++ b/fuzz/fuzz-feed.c
@@ -1,11 +1,11 @@
-/* Fuzz target: decoding of news between nodes, and the round trip of what decodes. */
+/* Fuzz target: decoding of feed messages, and the round trip of valid ones. */
 #include "fuzz-wire.h"
 #include <foxtailrun/wire/feed.h>
 #include <glib.h>
 #include <string.h>
 
 static void
-check_same (const fw_feed_message_t *a, const fw_feed_message_t *b)
+check_equal (const fw_feed_message_t *a, const fw_feed_message_t *b)
 {
   FUZZ_CHECK (a->kind == b->kind);
   FUZZ_CHECK (a->feed_id == b->feed_id);
@@ -21,7 +21,7 @@
   FUZZ_CHECK (a->endpoint_count == b->endpoint_count);
   for (size_t i = 0; i < a->endpoint_count; i++)
     {
-      fuzz_check_same_member (&a->endpoints[i].member, &b->endpoints[i].member);
+      fuzz_check_equal_member (&a->endpoints[i].member, &b->endpoints[i].member);
       FUZZ_CHECK (a->endpoints[i].slots == b->endpoints[i].slots);
     }
 }
@@ -29,25 +29,25 @@
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
-  fw_feed_message_t first;
-  fw_feed_message_t second;
+  fw_feed_message_t decoded;
+  fw_feed_message_t redecoded;
   uint8_t *encoded;
-  uint8_t *again;
+  uint8_t *reencoded;
   size_t encoded_len;
-  size_t again_len;
+  size_t reencoded_len;
 
-  if (fw_decode_feed ((fb_bytes_t){ data, size }, &first) != FB_OK)
+  if (fw_decode_feed ((fb_bytes_t){ data, size }, &decoded) != FB_OK)
     return 0;
-  FUZZ_CHECK (first.endpoint_count <= FW_ENDPOINTS_MAX);
-  FUZZ_CHECK (first.delta.len <= FW_DELTA_MAX);
-  encoded = fw_encode_feed (&first, &encoded_len);
-  FUZZ_CHECK (fw_decode_feed ((fb_bytes_t){ encoded, encoded_len }, &second) == FB_OK);
-  check_same (&first, &second);
-  again = fw_encode_feed (&second, &again_len);
-  FUZZ_CHECK (again_len == encoded_len && memcmp (again, encoded, again_len) == 0);
-  g_free (again);
+  FUZZ_CHECK (decoded.endpoint_count <= FW_ENDPOINTS_MAX);
+  FUZZ_CHECK (decoded.delta.len <= FW_DELTA_MAX);
+  encoded = fw_encode_feed (&decoded, &encoded_len);
+  FUZZ_CHECK (fw_decode_feed ((fb_bytes_t){ encoded, encoded_len }, &redecoded) == FB_OK);
+  check_equal (&decoded, &redecoded);
+  reencoded = fw_encode_feed (&redecoded, &reencoded_len);
+  FUZZ_CHECK (reencoded_len == encoded_len && memcmp (reencoded, encoded, reencoded_len) == 0);
+  g_free (reencoded);
   g_free (encoded);
-  fw_clear_feed (&second);
-  fw_clear_feed (&first);
+  fw_clear_feed (&redecoded);
+  fw_clear_feed (&decoded);
   return 0;
 }
--- a/fuzz/fuzz-wire.h
+++ b/fuzz/fuzz-wire.h
@@ -1,5 +1,5 @@
-/* Comparison of decoded values, shared by the targets for messages. Equal encodings do not
- * suffice: an encoder that writes one field in place of another also repeats itself. */
+/* Comparison of decoded values, for the targets that decode messages. Comparing encodings does
+ * not suffice: an encoder that writes one field in place of another does so both times. */
 #ifndef FOXTAILRUN_FUZZ_FUZZ_WIRE_H
 #define FOXTAILRUN_FUZZ_FUZZ_WIRE_H
 
@@ -7,9 +7,9 @@
 #include <foxtailrun/base/version.h>
 #include <foxtailrun/wire/member.h>
 
-/* Aborts unless both members are equal in every field. */
+/* Aborts unless A and B are equal in every field. */
 static inline void
-fuzz_check_same_member (const fw_member_t *a, const fw_member_t *b)
+fuzz_check_equal_member (const fw_member_t *a, const fw_member_t *b)
 {
   FUZZ_CHECK (fb_equal_name (&a->id, &b->id));
   FUZZ_CHECK (a->incarnation == b->incarnation);
@@ -23,9 +23,9 @@
   FUZZ_CHECK (fb_equal_name (&a->service, &b->service));
 }
 
-/* Aborts unless both versions are equal. */
+/* Aborts unless A and B are equal. */
 static inline void
-fuzz_check_same_version (const fb_version_t *a, const fb_version_t *b)
+fuzz_check_equal_version (const fb_version_t *a, const fb_version_t *b)
 {
   FUZZ_CHECK (fb_compare_versions (a, b) == 0);
 }
--- a/fuzz/fuzz.h
+++ b/fuzz/fuzz.h
@@ -1,4 +1,4 @@
-/* Shared parts of the fuzz targets. */
+/* Check and input helpers of the fuzz targets. */
 #ifndef FOXTAILRUN_FUZZ_FUZZ_H
 #define FOXTAILRUN_FUZZ_FUZZ_H
 
@@ -6,7 +6,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Aborts when a property that holds for every input does not hold. */
+/* Aborts if CONDITION, which must hold for every input, does not hold. */
 #define FUZZ_CHECK(condition)                                                                  \
   do                                                                                           \
     {                                                                                          \
@@ -23,7 +23,7 @@
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
 /* Splits an input in two: a length of two bytes, most significant first, and that many bytes
- * (or what there is) go to HEAD, the rest to TAIL. Both borrow DATA. */
+ * (or fewer, if the input is shorter) go to HEAD, the rest to TAIL. Both borrow DATA. */
 static inline void
 fuzz_split_input (const uint8_t *data, size_t size, fb_bytes_t *head, fb_bytes_t *tail)
 {
--- a/fuzz/replay.c
+++ b/fuzz/replay.c
@@ -1,10 +1,10 @@
-/* Runs a fuzz target over the files of a corpus folder, so that compilers without libFuzzer and
- * ordinary test runs cover them. */
+/* Runs a fuzz target on the files of a corpus folder, for ordinary test runs and for compilers
+ * without libFuzzer. */
 #include "fuzz.h"
 #include <glib.h>
 
 /* Largest single allocation for one input, in bytes; a document of 1 MB needs less. An
- * allocation above it means that a length field of the input was believed. */
+ * allocation above it means that a length field of the input was not validated. */
 #define ALLOCATION_MAX ((size_t)64 * 1024 * 1024)
 
 #ifdef __SANITIZE_ADDRESS__
@@ -53,8 +53,8 @@
 {
   GDir *dir = argc == 2 ? g_dir_open (argv[1], 0, NULL) : NULL;
   const char *name;
-  int ran = 0;
-  int failed = 0;
+  int count = 0;
+  int unreadable = 0;
 
   if (!dir)
     {
@@ -66,11 +66,11 @@
 #endif
   while ((name = g_dir_read_name (dir)))
     {
-      ran++;
+      count++;
       if (!run_file (argv[1], name))
-        failed++;
+        unreadable++;
     }
   g_dir_close (dir);
-  (void)printf ("%d inputs, %d not read\n", ran, failed);
-  return ran > 0 && failed == 0 ? 0 : 1;
+  (void)printf ("%d inputs, %d not read\n", count, unreadable);
+  return count > 0 && unreadable == 0 ? 0 : 1;
 }
