--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Entry points for people and CI; the build itself is CMake's.
+# Entry points for developers and CI; CMake does the build.
 BUILD ?= build
 SANITIZED ?= build-sanitized
 JOBS ?= $(shell nproc)
@@ -21,7 +21,7 @@
 bench: build
 	@BUILD=$(BUILD) tools/bench
 
-# make soak SEEDS=1000: long randomised runs.
+# make soak SEEDS=1000: runs the randomised tests with many seeds.
 soak: build
 	@BUILD=$(BUILD) tools/soak $(or $(SEEDS),1000)
 
--- a/cmake/package.cmake
+++ b/cmake/package.cmake
@@ -1,5 +1,5 @@
-# foxtailrun_add_package (NAME LIBRARIES...): a static library from source/*.c of the current folder,
-# with its public headers under include/, and one test program for each tests/test-*.c file.
+# foxtailrun_add_package (NAME LIBRARIES...): adds the static library fx-NAME from source/*.c and
+# source/*.cc with its public headers under include/, and its test programs.
 function (foxtailrun_add_package name)
   file (GLOB sources CONFIGURE_DEPENDS source/*.c source/*.cc)
   add_library (fx-${name} STATIC ${sources})
@@ -8,8 +8,8 @@
   foxtailrun_add_tests (${name} fx-${name})
 endfunction ()
 
-# foxtailrun_add_tests (NAME LIBRARIES...): registers the test programs of the current folder; other
-# files in tests/ are helpers linked into each of them.
+# foxtailrun_add_tests (NAME LIBRARIES...): adds a test program for each tests/test-*.c file; the
+# files tests/fixture-*.c are linked into each of them.
 function (foxtailrun_add_tests name)
   file (GLOB tests CONFIGURE_DEPENDS tests/test-*.c)
   file (GLOB fixtures CONFIGURE_DEPENDS tests/fixture-*.c)
