--- a/standins/fleet/fleet-host.c
+++ b/standins/fleet/fleet-host.c
@@ -76,7 +76,7 @@
 }
 
 static void
-call_source (uint64_t index, void *user)
+read_source (uint64_t index, void *user)
 {
   sf_host_t *host = user;
   sf_event_t *event = sf_schedule_event (host, SF_SOURCE_READ, (fb_bytes_t){ NULL, 0 });
@@ -157,7 +157,7 @@
                               .diverged = handle_divergence,
                               .user = host };
   fd_hooks_t hooks
-      = { send_control, call_source, apply_snapshot, set_ready, record_refusal, host };
+      = { send_control, read_source, apply_snapshot, set_ready, record_refusal, host };
 
   g_assert_null (host->table);
   host->start_count++;
