--- a/model/once.pml
+++ b/model/once.pml
@@ -1,11 +1,11 @@
 /* Calls that run at most once (design page, section 8). README.md in this folder lists the
  * abstractions and the flags.
  *
- * Two callers each hold a ticket that the first process of serving node 0 issued: serial 0 and
- * serial 1. Each makes up to two attempts with its ticket, the second through the other entry
- * node, at any time after the first one, unless that one was answered. A CALL that was sent may
- * reach each serving node at any time, any number of times or never; so may an ANSWER reach the
- * entry node of its attempt. */
+ * Two callers each have a ticket, with serial 0 and serial 1, issued by the first process of
+ * serving node 0. Each makes up to two attempts with its ticket, the second through the other
+ * entry node, at any time after the start of the first, unless that one got a response. A CALL may
+ * reach each serving node, and an ANSWER the entry node of its attempt, at any time, any number of
+ * times or never. */
 
 #ifndef RESTARTS
 #define RESTARTS 2
@@ -19,27 +19,27 @@
 #define ATTEMPTS 4 /* attempt 2 * ticket and 2 * ticket + 1 */
 #define SERVING  2
 
-#define TICKET_START 0 /* start id in both tickets */
+#define TICKET_START_ID 0 /* start id in both tickets */
 
 /* Records of a serving process. */
 #define NONE     0
-#define RECORDED 1 /* will be sent to the backend server */
+#define RECORDED 1 /* not yet sent to the backend server */
 #define SENT     2 /* sent to the backend server */
-#define ANSWERED 3 /* response kept */
-#define RAN      4 /* ran or may have run; no response kept */
-#define REFUSED  5 /* told "not run", so it never runs */
+#define ANSWERED 3 /* response cached */
+#define RAN      4 /* ran or may have run; no response cached */
+#define REFUSED  5 /* reported "not run", so it never runs */
 
-/* Attempts at the entry node. ENDED stands for "not run", which told_not_run keeps, and for
- * "unknown". */
+/* Attempts at the entry node. ENDED stands for the outcome "not run", which reported_not_run
+ * records, and for "unknown". */
 #define IDLE     0
 #define PENDING  1
 #define RESPONSE 2
 #define ENDED    3
 
-/* Contents of an ANSWER, as bits: the response of ticket 0 or 1, "not run", "unknown". */
-#define OF_TICKET(t) (1 << (t))
-#define SAYS_NOT_RUN 4
-#define SAYS_UNKNOWN 8
+/* Contents of an ANSWER, as bits: the response to ticket 0 or 1, "not run", "unknown". */
+#define RESPONSE_ANSWER(t) (1 << (t))
+#define NOT_RUN_ANSWER     4
+#define UNKNOWN_ANSWER     8
 
 #define TICKET(a) ((a) / 2)
 #define REC(t)    rec[id * TICKETS + (t)]
@@ -47,29 +47,29 @@
 byte attempt[ATTEMPTS] = IDLE;
 bool sent[ATTEMPTS] = false;     /* the CALL may still arrive */
 byte answers[ATTEMPTS] = 0;      /* ANSWERs that may still arrive */
-bool told_not_run[TICKETS] = false;
+bool reported_not_run[TICKETS] = false;
 
-byte start[SERVING];
-byte next_start = SERVING;
+byte start_id[SERVING];
+byte next_start_id = SERVING;
 byte restarts = 0;
 byte rec[SERVING * TICKETS] = NONE;
-byte waiting[SERVING] = 0;       /* attempts that wait for the end of a run, as bits */
-byte low_water[SERVING] = 0;     /* serials below it count as run */
+byte waiting[SERVING] = 0;        /* attempts waiting for the end of a run, as bits */
+byte low_water_mark[SERVING] = 0; /* a ticket with a lower serial counts as run */
 
-byte requests[SERVING * TICKETS] = 0;  /* on the way to the backend server */
-bool responses[SERVING * TICKETS] = 0; /* on the way back to the process that sent it */
-byte sender[SERVING * TICKETS] = 0;    /* start id of the process that sent the request */
+byte requests[SERVING * TICKETS] = 0;  /* in transit to the backend server */
+bool responses[SERVING * TICKETS] = 0; /* in transit to the process that sent the request */
+byte sender[SERVING * TICKETS] = 0;    /* start id of the process that sent it */
 byte ran[TICKETS] = 0;
 
 #ifdef NO_START_ID_CHECK
-#define IS_OWN true
+#define IS_OWN_TICKET true
 #else
-#define IS_OWN (start[id] == TICKET_START)
+#define IS_OWN_TICKET (start_id[id] == TICKET_START_ID)
 #endif
 #ifdef NO_LOW_WATER_MARK
-#define IS_BELOW(t) false
+#define IS_BELOW_MARK(t) false
 #else
-#define IS_BELOW(t) ((t) < low_water[id])
+#define IS_BELOW_MARK(t) ((t) < low_water_mark[id])
 #endif
 #ifdef REFUSAL_NOT_RECORDED
 #define REFUSAL_RECORD NONE
@@ -77,7 +77,7 @@
 #define REFUSAL_RECORD REFUSED
 #endif
 
-/* An answer to an attempt that has ended is dropped, so that only pending ones matter. */
+/* Sends an ANSWER for attempt TO. One for an attempt that is not pending is dropped. */
 inline answer (to, content)
 {
   if
@@ -86,7 +86,7 @@
   fi
 }
 
-/* Tells the caller the outcome of attempt A; nothing waits for it any more. */
+/* Ends attempt A with OUTCOME and removes its answers and waiting marks. */
 inline end_attempt (a, outcome)
 {
   attempt[a] = outcome;
@@ -95,15 +95,15 @@
   waiting[1] = waiting[1] & (15 - (1 << (a)))
 }
 
-/* Answers every attempt with ticket T that waits at this node. */
-inline answer_waiting (t, text)
+/* Answers every attempt with ticket T that is waiting at this node. */
+inline answer_waiting (t, content)
 {
   if
-  :: (waiting[id] & (1 << (2 * t))) != 0 -> answer (2 * t, text)
+  :: (waiting[id] & (1 << (2 * t))) != 0 -> answer (2 * t, content)
   :: else
   fi;
   if
-  :: (waiting[id] & (1 << (2 * t + 1))) != 0 -> answer (2 * t + 1, text)
+  :: (waiting[id] & (1 << (2 * t + 1))) != 0 -> answer (2 * t + 1, content)
   :: else
   fi;
   waiting[id] = waiting[id] & (15 - (3 << (2 * t)))
@@ -113,33 +113,40 @@
 {
   assert (requests[id * TICKETS + t] < 3);
   requests[id * TICKETS + t]++;
-  sender[id * TICKETS + t] = start[id]
+  sender[id * TICKETS + t] = start_id[id]
 }
 
-#define LACKS(a, content) (attempt[a] == PENDING && (answers[a] & (content)) == 0)
-#define IS_WAITING(a)     ((waiting[id] & (1 << (a))) != 0)
-#define FINDS(a, state)   (sent[a] && IS_OWN && !IS_BELOW (TICKET (a)) && REC (TICKET (a)) == (state))
+#define LACKS_ANSWER(a, content) (attempt[a] == PENDING && (answers[a] & (content)) == 0)
+#define IS_WAITING(a)            ((waiting[id] & (1 << (a))) != 0)
 
-/* The CALL of attempt A arrives at this serving node. Steps that change nothing are left out. */
+/* Whether the CALL of attempt A can arrive at this node with the record of its ticket in STATE. */
+#define CAN_ARRIVE(a, state)                                                                   \
+  (sent[a] && IS_OWN_TICKET && !IS_BELOW_MARK (TICKET (a)) && REC (TICKET (a)) == (state))
+
+/* The CALL of attempt A arrives at this serving node. Steps without an effect are omitted. */
 #define ARRIVAL(a)                                                                             \
-  /* Not this process's ticket, or a serial whose record is gone. */                           \
-  :: d_step { sent[a] && (!IS_OWN || IS_BELOW (TICKET (a))) && LACKS (a, SAYS_UNKNOWN) ->      \
-              answer (a, SAYS_UNKNOWN) }                                                       \
-  /* First use: admission refuses it. */                                                       \
-  :: d_step { FINDS (a, NONE) && (REFUSAL_RECORD != NONE || LACKS (a, SAYS_NOT_RUN)) ->        \
+  /* A ticket of another process, or one whose record was evicted. */                          \
+  :: d_step { sent[a] && (!IS_OWN_TICKET || IS_BELOW_MARK (TICKET (a)))                        \
+                && LACKS_ANSWER (a, UNKNOWN_ANSWER) ->                                         \
+              answer (a, UNKNOWN_ANSWER) }                                                     \
+  /* First use, refused by admission. */                                                       \
+  :: d_step { CAN_ARRIVE (a, NONE)                                                             \
+                && (REFUSAL_RECORD != NONE || LACKS_ANSWER (a, NOT_RUN_ANSWER)) ->             \
               REC (TICKET (a)) = REFUSAL_RECORD;                                               \
-              answer (a, SAYS_NOT_RUN) }                                                       \
-  /* First use: it starts. */                                                                  \
-  :: d_step { FINDS (a, NONE) && MAY_START (a) -> start_run (a) }                              \
-  :: d_step { (FINDS (a, RECORDED) || FINDS (a, SENT)) && !IS_WAITING (a)                      \
+              answer (a, NOT_RUN_ANSWER) }                                                     \
+  /* First use, started. */                                                                    \
+  :: d_step { CAN_ARRIVE (a, NONE) && CAN_START (a) -> start_run (a) }                         \
+  :: d_step { (CAN_ARRIVE (a, RECORDED) || CAN_ARRIVE (a, SENT)) && !IS_WAITING (a)            \
                 && attempt[a] == PENDING ->                                                    \
               waiting[id] = waiting[id] | (1 << (a)) }                                         \
-  :: d_step { FINDS (a, ANSWERED) && LACKS (a, OF_TICKET (TICKET (a))) ->                      \
-              answer (a, OF_TICKET (TICKET (a))) }                                             \
-  :: d_step { FINDS (a, RAN) && LACKS (a, SAYS_UNKNOWN) -> answer (a, SAYS_UNKNOWN) }          \
-  :: d_step { FINDS (a, REFUSED) && LACKS (a, SAYS_NOT_RUN) -> answer (a, SAYS_NOT_RUN) }
-
-inline wait_for_end (a)
+  :: d_step { CAN_ARRIVE (a, ANSWERED) && LACKS_ANSWER (a, RESPONSE_ANSWER (TICKET (a))) ->    \
+              answer (a, RESPONSE_ANSWER (TICKET (a))) }                                       \
+  :: d_step { CAN_ARRIVE (a, RAN) && LACKS_ANSWER (a, UNKNOWN_ANSWER) ->                       \
+              answer (a, UNKNOWN_ANSWER) }                                                     \
+  :: d_step { CAN_ARRIVE (a, REFUSED) && LACKS_ANSWER (a, NOT_RUN_ANSWER) ->                   \
+              answer (a, NOT_RUN_ANSWER) }
+
+inline add_waiting (a)
 {
   if
   :: attempt[a] == PENDING -> waiting[id] = waiting[id] | (1 << (a))
@@ -148,18 +155,18 @@
 }
 
 #ifdef NO_RECORD_BEFORE_RUN
-/* The record is made only when the response has come. */
-#define MAY_START(a) (requests[id * TICKETS + TICKET (a)] < 2)
+/* The record is added only after the response has arrived. */
+#define CAN_START(a) (requests[id * TICKETS + TICKET (a)] < 2)
 inline start_run (a)
 {
-  wait_for_end (a);
+  add_waiting (a);
   send_to_backend (TICKET (a))
 }
 #else
-#define MAY_START(a) true
+#define CAN_START(a) true
 inline start_run (a)
 {
-  wait_for_end (a);
+  add_waiting (a);
   REC (TICKET (a)) = RECORDED
 }
 #endif
@@ -167,27 +174,27 @@
 /* The run of ticket T at this serving node. */
 #define RUN(t)                                                                                 \
   :: d_step { REC (t) == RECORDED -> REC (t) = SENT; send_to_backend (t) }                     \
-  /* Provably not sent, such as a refused connection or a deadline that passed in the queue. */ \
+  /* Certainly not sent: connection refused, or deadline passed in the queue. */               \
   :: d_step { REC (t) == RECORDED ->                                                           \
-              REC (t) = REFUSAL_RECORD; answer_waiting (t, SAYS_NOT_RUN) }                     \
+              REC (t) = REFUSAL_RECORD; answer_waiting (t, NOT_RUN_ANSWER) }                   \
   :: d_step { responses[id * TICKETS + (t)] ->                                                 \
               responses[id * TICKETS + (t)] = false;                                           \
               if                                                                               \
               :: REC (t) == SENT || REC (t) == NONE ->                                         \
-                 REC (t) = ANSWERED; answer_waiting (t, OF_TICKET (t))                         \
+                 REC (t) = ANSWERED; answer_waiting (t, RESPONSE_ANSWER (t))                   \
               :: else                                                                          \
               fi }                                                                             \
-  /* No complete response from the backend server in time. */                                  \
-  :: d_step { REC (t) == SENT -> REC (t) = RAN; answer_waiting (t, AFTER_SENDING) }            \
+  /* No complete response from the backend server before the deadline. */                      \
+  :: d_step { REC (t) == SENT -> REC (t) = RAN; answer_waiting (t, ANSWER_AFTER_SENDING) }     \
   /* Eviction: first the response, then the record, in the order of serials. */                \
   :: d_step { REC (t) == ANSWERED -> REC (t) = RAN }                                           \
-  :: d_step { low_water[id] == (t) && REC (t) != RECORDED && REC (t) != SENT ->                \
-              REC (t) = NONE; low_water[id]++ }
+  :: d_step { low_water_mark[id] == (t) && REC (t) != RECORDED && REC (t) != SENT ->           \
+              REC (t) = NONE; low_water_mark[id]++ }
 
 #ifdef NOT_RUN_AFTER_SENDING
-#define AFTER_SENDING SAYS_NOT_RUN
+#define ANSWER_AFTER_SENDING NOT_RUN_ANSWER
 #else
-#define AFTER_SENDING SAYS_UNKNOWN
+#define ANSWER_AFTER_SENDING UNKNOWN_ANSWER
 #endif
 
 proctype serving (byte id)
@@ -201,31 +208,31 @@
   RUN (0)
   RUN (1)
   /* Crash and restart: records, waiting calls and connections are lost; a request that was sent
-   * may still reach the backend server. Node 1 has nothing to lose. */
+   * may still reach the backend server. Node 1 has no records, so it does not crash. */
   :: d_step {
        id == 0 && restarts < RESTARTS ->
        restarts++;
-       start[id] = next_start;
-       next_start++;
+       start_id[id] = next_start_id;
+       next_start_id++;
        REC (0) = NONE;
        REC (1) = NONE;
        waiting[id] = 0;
-       low_water[id] = 0;
+       low_water_mark[id] = 0;
        responses[id * TICKETS] = false;
        responses[id * TICKETS + 1] = false
      }
   od
 }
 
-/* Request of ticket T from serving node N. */
+/* The backend server runs a request of ticket T from serving node N. */
 #define BACKEND(n, t)                                                                          \
   :: d_step { requests[(n) * TICKETS + (t)] > 0 ->                                             \
               requests[(n) * TICKETS + (t)]--;                                                 \
               ran[t]++;                                                                        \
               assert (ran[t] <= 1);     /* G6: at most once */                                 \
-              assert (!told_not_run[t]); /* G5: "not run" stays true */                        \
+              assert (!reported_not_run[t]); /* G5: "not run" remains true */                  \
               if                                                                               \
-              :: sender[(n) * TICKETS + (t)] == start[n] ->                                    \
+              :: sender[(n) * TICKETS + (t)] == start_id[n] ->                                 \
                  responses[(n) * TICKETS + (t)] = true                                         \
               :: else                                                                          \
               fi;                                                                              \
@@ -242,46 +249,47 @@
   od
 }
 
-inline tell_not_run (a)
+inline report_not_run (a)
 {
   end_attempt (a, ENDED);
-  told_not_run[TICKET (a)] = true;
+  reported_not_run[TICKET (a)] = true;
   assert (ran[TICKET (a)] == 0) /* G5 */
 }
 
-/* An ANSWER addressed to attempt B ends attempt A. */
+/* An ANSWER for attempt B ends attempt A. */
 #define ENTRY_ANSWER(a, b)                                                                     \
-  :: d_step { attempt[a] == PENDING && (answers[b] & OF_TICKET (0)) != 0 ->                    \
+  :: d_step { attempt[a] == PENDING && (answers[b] & RESPONSE_ANSWER (0)) != 0 ->              \
               end_attempt (a, RESPONSE);                                                       \
               assert (TICKET (a) == 0) /* G4: its own response */ }                            \
-  :: d_step { attempt[a] == PENDING && (answers[b] & OF_TICKET (1)) != 0 ->                    \
+  :: d_step { attempt[a] == PENDING && (answers[b] & RESPONSE_ANSWER (1)) != 0 ->              \
               end_attempt (a, RESPONSE);                                                       \
               assert (TICKET (a) == 1) }                                                       \
-  :: d_step { attempt[a] == PENDING && (answers[b] & SAYS_NOT_RUN) != 0 -> tell_not_run (a) }  \
-  :: d_step { attempt[a] == PENDING && (answers[b] & SAYS_UNKNOWN) != 0 ->                     \
+  :: d_step { attempt[a] == PENDING && (answers[b] & NOT_RUN_ANSWER) != 0 ->                   \
+              report_not_run (a) }                                                             \
+  :: d_step { attempt[a] == PENDING && (answers[b] & UNKNOWN_ANSWER) != 0 ->                   \
               end_attempt (a, ENDED) }
 
 #ifdef NO_DEADLINE
-/* The CALL is lost and no copy is left. With a deadline this adds nothing to a CALL that has not
- * arrived yet. */
+/* The CALL and all its copies are lost. With a deadline this case is covered by a CALL that has
+ * not arrived yet. */
 #define DEADLINE(a) :: d_step { sent[a] -> sent[a] = false }
 #else
 #define DEADLINE(a) :: d_step { attempt[a] == PENDING -> end_attempt (a, ENDED) }
 #endif
 
 #ifdef RETRY_ELSEWHERE
-/* No answer yet: the call goes to the other serving node as one without a ticket. */
+/* Without an answer, the call is sent to the other serving node without its ticket. */
 #define RETRY(a)                                                                               \
   :: d_step { attempt[a] == PENDING && sent[a] && requests[TICKETS + TICKET (a)] < 1           \
                 && ran[TICKET (a)] < 2 ->                                                      \
-              requests[TICKETS + TICKET (a)]++; sender[TICKETS + TICKET (a)] = start[1] }
+              requests[TICKETS + TICKET (a)]++; sender[TICKETS + TICKET (a)] = start_id[1] }
 #else
 #define RETRY(a)
 #endif
 
-/* The entry node of attempt A forwards it, or refuses it because of a throttle or a missing
- * connection. It cannot know whether another attempt with this ticket ran, so that its own
- * refusal is told as unknown. */
+/* Steps of the entry node of attempt A. It may refuse the attempt because of a throttle or a
+ * missing connection; it does not know whether another attempt with this ticket ran, so it reports
+ * its own refusal as unknown. */
 #define ENTRY_STEPS(a)                                                                         \
   DEADLINE (a)                                                                                 \
   RETRY (a)                                                                                    \
@@ -301,13 +309,13 @@
   od
 }
 
-/* The caller begins attempt A. */
+/* The caller starts attempt A. */
 #define BEGIN(a, condition)                                                                    \
   :: d_step { attempt[a] == IDLE && (condition) -> attempt[a] = PENDING; sent[a] = true }      \
   :: d_step { attempt[a] == IDLE && (condition) -> REFUSE_AT_ENTRY (a) }
 
 #ifdef ENTRY_TELLS_NOT_RUN
-#define REFUSE_AT_ENTRY(a) tell_not_run (a)
+#define REFUSE_AT_ENTRY(a) report_not_run (a)
 #else
 #define REFUSE_AT_ENTRY(a) attempt[a] = ENDED
 #endif
@@ -337,8 +345,8 @@
 init
 {
   atomic {
-    start[0] = 0;
-    start[1] = 1;
+    start_id[0] = 0;
+    start_id[1] = 1;
     run serving (0);
     run serving (1);
     run backend ();
