--- a/standins/standin-platform.c
+++ b/standins/standin-platform.c
@@ -94,7 +94,7 @@
       g_free (watch);
       break;
     }
-  respond_text (request, 500, "cancelled\n");
+  respond_text (request, 500, "gone");
 }
 
 static void
