--- a/packages/call/include/foxtailrun/call/admission.h
+++ b/packages/call/include/foxtailrun/call/admission.h
@@ -74,8 +74,8 @@
   fb_time_t deadline;    /* absolute, ns */
   fb_time_t target_time; /* absolute time until which an answer counts as in time; 0 for the
                             latency target of the rank */
-  bool is_caller_retry;  /* refused before and sent again; queued before other calls of its
-                            customer */
+  bool is_caller_retry;  /* the caller is assumed to have been refused before; queued before the
+                            other calls of its customer */
 } fr_call_times_t;
 
 /* Like fr_offer_call, for a call with its own target time or a caller retry. */
--- a/packages/call/source/admission-queue.c
+++ b/packages/call/source/admission-queue.c
@@ -64,7 +64,7 @@
 }
 
 flow_t *
-fr_find_flow (rank_t *rank, fb_str_t customer, double weight)
+fr_find_or_add_flow (rank_t *rank, fb_str_t customer, double weight)
 {
   char *name = fb_copy_text (customer);
   flow_t *flow = g_hash_table_lookup (rank->flows, name);
@@ -224,7 +224,8 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       flow_t *flow = value;
-      flow_t *merged_flow = fr_find_flow (to, fb_wrap_text (flow->customer), flow->weight);
+      flow_t *merged_flow
+          = fr_find_or_add_flow (to, fb_wrap_text (flow->customer), flow->weight);
       entry_t *entry;
 
       unschedule_flow (flow);
--- a/packages/call/source/admission-share.c
+++ b/packages/call/source/admission-share.c
@@ -10,14 +10,14 @@
  * long one. */
 #define RESERVE_FRACTION 0.2
 
-/* With fewer slots than this none is reserved. */
-#define RESERVE_TOTAL_SLOTS_MIN 5
+/* Least number of slots of which some are reserved. */
+#define RESERVING_SLOTS_MIN 5
 
 /* Fraction of the slots that more urgent ranks must use for a reserve to apply. */
 #define RESERVE_URGENT_USAGE_MIN 0.02
 
-/* Share that FR_POLICY_FAIR assumes for a rank without a share. */
-#define FAIR_SHARE_MIN 0.01
+/* Least share that FR_POLICY_FAIR assumes for a rank. */
+#define ASSUMED_SHARE_MIN 0.01
 
 void
 fr_update_usage (fr_admission_t *admission)
@@ -43,7 +43,7 @@
   return rank->usage < rank->options.share * admission->slots;
 }
 
-/* Returns the number of slots that RANK leaves free when it is over its share; it grows
+/* Returns the number of slots that RANK leaves free when it is over its share. The number grows
  * linearly from the most to the least urgent rank. */
 static uint32_t
 get_reserve (const fr_admission_t *admission, const rank_t *rank)
@@ -51,7 +51,7 @@
   uint32_t reserve_max = (uint32_t)ceil (admission->slots * RESERVE_FRACTION);
   double urgent_usage = 0;
 
-  if (rank->index == 0 || admission->slots < RESERVE_TOTAL_SLOTS_MIN)
+  if (rank->index == 0 || admission->slots < RESERVING_SLOTS_MIN)
     return 0;
   for (uint32_t i = 0; i < rank->index; i++)
     urgent_usage += ((rank_t *)g_ptr_array_index (admission->ranks, i))->usage;
@@ -60,8 +60,9 @@
   return reserve_max * rank->index / MAX (admission->ranks->len - 1, 1);
 }
 
-/* Returns the most urgent rank below its share, otherwise the most urgent rank if the reserve
- * allows it. */
+/* Returns, of the ranks with waiting calls, the most urgent one below its share, otherwise the
+ * most urgent one if the reserve allows it. Returns NULL when no call waits or the reserve does
+ * not allow it. */
 static rank_t *
 choose_by_share (const fr_admission_t *admission)
 {
@@ -110,7 +111,7 @@
   for (size_t i = 0; i < admission->ranks->len; i++)
     {
       rank_t *rank = g_ptr_array_index (admission->ranks, i);
-      double relative_usage = rank->usage / MAX (rank->options.share, FAIR_SHARE_MIN);
+      double relative_usage = rank->usage / MAX (rank->options.share, ASSUMED_SHARE_MIN);
 
       if (rank->waiting > 0 && (lowest == NULL || relative_usage < lowest_usage))
         {
@@ -182,6 +183,7 @@
 double
 fr_estimate_wait (const fr_admission_t *admission, const flow_t *flow, bool is_caller_retry)
 {
+  /* A caller retry is queued before the other calls of its customer. */
   return estimate_wait_behind (admission, flow->rank,
                                is_caller_retry ? flow->retries_waiting
                                                : fr_count_calls_ahead (flow));
--- a/packages/call/source/admission-state.h
+++ b/packages/call/source/admission-state.h
@@ -98,7 +98,7 @@
 void fr_destroy_rank (rank_t *rank);
 
 /* Returns the flow of CUSTOMER in RANK, created when missing. */
-flow_t *fr_find_flow (rank_t *rank, fb_str_t customer, double weight);
+flow_t *fr_find_or_add_flow (rank_t *rank, fb_str_t customer, double weight);
 
 /* Queues ENTRY in its flow; a caller retry goes behind the other retries and before the rest.
  */
@@ -138,7 +138,8 @@
 /* Returns whether the recent usage of RANK is below its guaranteed share. */
 bool fr_is_below_share (const fr_admission_t *admission, const rank_t *rank);
 
-/* Returns the rank that gets the next slot, or NULL when none may start a call. */
+/* Returns the rank with waiting calls that gets the next free slot. Returns NULL when no call
+ * waits, or when FR_POLICY_SHARES reserves the free slots for more urgent ranks. */
 rank_t *fr_choose_rank (const fr_admission_t *admission);
 
 /* Returns the expected wait in ns of a new call of FLOW; a caller retry waits only for the
--- a/packages/call/source/admission.c
+++ b/packages/call/source/admission.c
@@ -236,8 +236,8 @@
       /* Started calls are in no queue; their flow is looked up in the rank that it was merged
        * into. */
       if (entry->flow->rank->index >= rank_count)
-        entry->flow = fr_find_flow (last_rank, fb_wrap_text (entry->flow->customer),
-                                    entry->flow->weight);
+        entry->flow = fr_find_or_add_flow (last_rank, fb_wrap_text (entry->flow->customer),
+                                           entry->flow->weight);
     }
   while (admission->ranks->len > rank_count)
     fr_destroy_rank (g_ptr_array_remove_index (admission->ranks, admission->ranks->len - 1));
@@ -325,9 +325,9 @@
   size_t index = MIN (rank, admission->ranks->len - 1);
   /* The baseline policies do not distinguish customers. */
   bool by_customer = admission->policy == FR_POLICY_SHARES;
-  flow_t *flow
-      = fr_find_flow (g_ptr_array_index (admission->ranks, index),
-                      by_customer ? customer : FB_LITERAL (""), by_customer ? weight : 1);
+  flow_t *flow = fr_find_or_add_flow (g_ptr_array_index (admission->ranks, index),
+                                      by_customer ? customer : FB_LITERAL (""),
+                                      by_customer ? weight : 1);
   fr_refusal_t refusal;
 
   FB_INVARIANT (!g_hash_table_contains (admission->entries, &id));
--- a/packages/call/source/retry-budget.c
+++ b/packages/call/source/retry-budget.c
@@ -48,10 +48,11 @@
 }
 
 static fr_window_t *
-find_window (fr_retry_budget_t *budget, fb_str_t service)
+find_or_add_window (fr_retry_budget_t *budget, fb_str_t service)
 {
   char *key = fb_copy_text (service);
-  fr_window_t *window = fr_find_window (&budget->windows, key, fb_read_clock (budget->clock));
+  fr_window_t *window
+      = fr_find_or_add_window (&budget->windows, key, fb_read_clock (budget->clock));
 
   g_free (key);
   return window;
@@ -60,13 +61,13 @@
 void
 fr_deposit_retry (fr_retry_budget_t *budget, fb_str_t service)
 {
-  fr_add_to_window (find_window (budget, service), fb_read_clock (budget->clock), 1, 0);
+  fr_add_to_window (find_or_add_window (budget, service), fb_read_clock (budget->clock), 1, 0);
 }
 
 bool
 fr_withdraw_retry (fr_retry_budget_t *budget, fb_str_t service, uint32_t rank)
 {
-  fr_window_t *window = find_window (budget, service);
+  fr_window_t *window = find_or_add_window (budget, service);
   fb_time_t now = fb_read_clock (budget->clock);
   const fr_window_count_t *sum = fr_advance_window (window, now);
   double allowed = budget->ratio * (double)sum->calls + budget->floor;
@@ -81,7 +82,7 @@
 void
 fr_charge_retry (fr_retry_budget_t *budget, fb_str_t service)
 {
-  fr_add_to_window (find_window (budget, service), fb_read_clock (budget->clock), 0, 1);
+  fr_add_to_window (find_or_add_window (budget, service), fb_read_clock (budget->clock), 0, 1);
 }
 
 bool
--- a/packages/call/source/retry-throttle.c
+++ b/packages/call/source/retry-throttle.c
@@ -6,7 +6,8 @@
  * once; with 2 a flood costs a node as many refusals as accepted calls. */
 #define ADMITTED_PER_ACCEPTED 2.0
 
-/* Ended calls in a window from which the throttle acts and a customer leaves the shared window.
+/* Ended calls in a window from which the throttle refuses calls and a customer is counted
+ * separately.
  */
 #define SAMPLE_CALLS_MIN 20
 
@@ -46,7 +47,8 @@
 
 /* Returns the window of CUSTOMER, or the shared window when CUSTOMER is NULL. */
 static fr_window_t *
-find_window (fr_throttle_t *throttle, fb_str_t service, uint32_t rank, const fb_str_t *customer)
+find_or_add_window (fr_throttle_t *throttle, fb_str_t service, uint32_t rank,
+                    const fb_str_t *customer)
 {
   fb_time_t now = fb_read_clock (throttle->clock);
   fr_window_t *window;
@@ -57,7 +59,7 @@
                            service.data, (int)customer->len, customer->data);
   else
     key = g_strdup_printf ("%u %.*s", rank, (int)service.len, service.data);
-  window = fr_find_window (&throttle->windows, key, now);
+  window = fr_find_or_add_window (&throttle->windows, key, now);
   g_free (key);
   fr_advance_window (window, now);
   return window;
@@ -68,9 +70,9 @@
 find_throttling_window (fr_throttle_t *throttle, fb_str_t service, uint32_t rank,
                         fb_str_t customer)
 {
-  fr_window_t *own = find_window (throttle, service, rank, &customer);
+  fr_window_t *own = find_or_add_window (throttle, service, rank, &customer);
 
-  return own->counted_separately ? own : find_window (throttle, service, rank, NULL);
+  return own->counted_separately ? own : find_or_add_window (throttle, service, rank, NULL);
 }
 
 /* Counts one call of CUSTOMER that ended. Customers with few calls are counted in their own
@@ -81,13 +83,13 @@
             bool accepted)
 {
   fb_time_t now = fb_read_clock (throttle->clock);
-  fr_window_t *own = find_window (throttle, service, rank, &customer);
+  fr_window_t *own = find_or_add_window (throttle, service, rank, &customer);
   fr_window_t *shared;
 
   fr_add_to_window (own, now, 1, accepted);
   if (own->counted_separately)
     return;
-  shared = find_window (throttle, service, rank, NULL);
+  shared = find_or_add_window (throttle, service, rank, NULL);
   if (shared == own)
     return;
   fr_add_to_window (shared, now, 1, accepted);
--- a/packages/call/source/retry-window.c
+++ b/packages/call/source/retry-window.c
@@ -67,7 +67,7 @@
 }
 
 fr_window_t *
-fr_find_window (fr_windows_t *windows, const char *key, fb_time_t now)
+fr_find_or_add_window (fr_windows_t *windows, const char *key, fb_time_t now)
 {
   fr_window_t *window;
 
--- a/packages/call/source/retry-window.h
+++ b/packages/call/source/retry-window.h
@@ -1,4 +1,6 @@
-/* Sliding windows of FR_WINDOW_LENGTH by key, each with two counts. */
+/* Sliding windows of FR_WINDOW_LENGTH by key, each with two counts. The retry budget counts
+ * first attempts (calls) and retries (granted). The throttle counts calls that ended, including
+ * those it refused (calls), and calls that admission accepted (granted). */
 #ifndef FOXTAILRUN_CALL_RETRY_WINDOW_H
 #define FOXTAILRUN_CALL_RETRY_WINDOW_H
 
@@ -11,8 +13,8 @@
 
 typedef struct
 {
-  uint64_t calls;   /* retry budget: first attempts; throttle: calls that ended */
-  uint64_t granted; /* retry budget: retries; throttle: calls accepted by admission */
+  uint64_t calls;
+  uint64_t granted;
 } fr_window_count_t;
 
 typedef struct
@@ -20,8 +22,9 @@
   fr_window_count_t buckets[FR_WINDOW_BUCKETS];
   fr_window_count_t sum;      /* of the buckets */
   int64_t bucket_number;      /* of the current bucket, counted from clock time 0 */
-  fb_time_t last_admitted_at; /* throttle */
-  bool counted_separately;    /* throttle: customer left the shared window; reset when empty */
+  fb_time_t last_admitted_at; /* throttle: time of the last call that it admitted */
+  bool counted_separately;    /* throttle: the customer's calls are not counted in the shared
+                                 window; false again when this window has no calls */
 } fr_window_t;
 
 typedef struct
@@ -46,9 +49,9 @@
  * to the same time. */
 void fr_subtract_window (fr_window_t *total, const fr_window_t *window);
 
-/* Returns the window of KEY, created when missing; empty windows are freed once per window
- * length. The result is valid until the next call. */
-fr_window_t *fr_find_window (fr_windows_t *windows, const char *key, fb_time_t now);
+/* Returns the window of KEY, created when missing; it is valid until the next call. The call
+ * also frees empty windows, at most once per FR_WINDOW_LENGTH. */
+fr_window_t *fr_find_or_add_window (fr_windows_t *windows, const char *key, fb_time_t now);
 
 size_t fr_count_windows (const fr_windows_t *windows);
 
--- a/packages/call/source/route-pick.c
+++ b/packages/call/source/route-pick.c
@@ -92,6 +92,7 @@
   if (instance == NULL)
     {
       instance = g_new0 (instance_t, 1);
+      /* The key in the table is the id in the entry, so the id is set before the insertion. */
       instance->member = *member;
       g_hash_table_insert (picker->instances, instance->member.id.data, instance);
     }
@@ -221,10 +222,10 @@
                         excluded_count, candidates);
 }
 
-/* Draws one candidate other than DRAWN, weighted by slow start; returns NULL when there is
- * none. */
+/* Draws one candidate other than EXCEPT, which may be NULL, weighted by slow start; returns
+ * NULL when there is none. */
 static instance_t *
-draw_candidate (fr_picker_t *picker, const candidates_t *candidates, const instance_t *drawn,
+draw_candidate (fr_picker_t *picker, const candidates_t *candidates, const instance_t *except,
                 fb_time_t now)
 {
   instance_t *last = NULL;
@@ -232,12 +233,12 @@
   double point;
 
   for (size_t i = 0; i < candidates->count; i++)
-    if (candidates->instances[i] != drawn)
+    if (candidates->instances[i] != except)
       total += fr_get_slow_start_weight (candidates->instances[i], now);
   point = g_rand_double (picker->random) * total;
   for (size_t i = 0; i < candidates->count; i++)
     {
-      if (candidates->instances[i] == drawn)
+      if (candidates->instances[i] == except)
         continue;
       last = candidates->instances[i];
       point -= fr_get_slow_start_weight (last, now);
@@ -260,10 +261,11 @@
                                                                                       : first;
 }
 
-/* Picks by one of the baseline policies without scores. */
+/* Picks by FR_PICK_ROUND_ROBIN or FR_PICK_LEAST_IN_FLIGHT; for other policies picks the
+ * instance with the highest rendezvous weight for KEY. */
 static instance_t *
-pick_baseline (const fr_picker_t *picker, service_t *service, const candidates_t *candidates,
-               fb_str_t key)
+pick_without_scores (const fr_picker_t *picker, service_t *service,
+                     const candidates_t *candidates, fb_str_t key)
 {
   instance_t *best = candidates->instances[0];
 
@@ -290,7 +292,7 @@
 }
 
 static void
-begin_attempt (instance_t *instance, uint32_t rank)
+count_in_flight (instance_t *instance, uint32_t rank)
 {
   instance->in_flight++;
   instance->rank_stats[clamp_rank (rank)].in_flight++;
@@ -329,7 +331,7 @@
                                   excluded_count > 0, fb_read_clock (picker->clock));
   if (instance == NULL)
     return false;
-  begin_attempt (instance, rank);
+  count_in_flight (instance, rank);
   *picked = instance->member.id;
   return true;
 }
@@ -351,8 +353,8 @@
     instance = pick_two_choices (picker, &candidates, clamp_rank (rank),
                                  fb_read_clock (picker->clock));
   else
-    instance = pick_baseline (picker, service, &candidates, key);
-  begin_attempt (instance, rank);
+    instance = pick_without_scores (picker, service, &candidates, key);
+  count_in_flight (instance, rank);
   *picked = instance->member.id;
   return true;
 }
@@ -370,7 +372,7 @@
   instance_t *instance = g_hash_table_lookup (picker->instances, name->data);
 
   if (instance != NULL)
-    begin_attempt (instance, rank);
+    count_in_flight (instance, rank);
 }
 
 void
--- a/packages/call/tests/fixture-service.c
+++ b/packages/call/tests/fixture-service.c
@@ -89,11 +89,11 @@
 }
 
 static void
-apply_member_state (node_t *node, uint32_t number, fw_member_state_t state)
+apply_member_state (node_t *node, uint32_t member_index, fw_member_state_t state)
 {
-  fw_member_t member = { .id = node->simulation->nodes[number].id, .state = state };
+  fw_member_t member = { .id = node->simulation->nodes[member_index].id, .state = state };
 
-  member.zone = fb_make_name (number % 2 == 0 ? "zone-0" : "zone-1");
+  member.zone = fb_make_name (member_index % 2 == 0 ? "zone-0" : "zone-1");
   member.region = fb_make_name ("region");
   member.service = fb_make_name ("service");
   fr_update_instance (node->picker, &member);
@@ -184,7 +184,7 @@
   event_t *timeout = add_event (simulation, EVENT_CALLER_TIMEOUT, 0, CALLER_TIMEOUT);
 
   timeout->request = request->index;
-  timeout->number = request->attempts;
+  timeout->number = request->ended_attempts;
   if (node->start_id != 0)
     handle_request (node, event);
 }
@@ -282,7 +282,7 @@
       g_assert_cmpuint (fr_count_started (node->admission), ==, 0);
       g_assert_cmpuint (fr_count_waiting (node->admission), ==, 0);
       g_assert_cmpuint (g_hash_table_size (node->backend_calls), ==, 0);
-      g_assert_cmpuint (g_hash_table_size (node->attempts), ==, 0);
+      g_assert_cmpuint (g_hash_table_size (node->entry_calls), ==, 0);
       g_hash_table_iter_init (&iter, node->picker->instances);
       while (g_hash_table_iter_next (&iter, NULL, &value))
         g_assert_cmpuint (((instance_t *)value)->in_flight, ==, 0);
--- a/packages/call/tests/fixture-simulation.h
+++ b/packages/call/tests/fixture-simulation.h
@@ -31,19 +31,21 @@
   EVENT_TICK
 } event_kind_t;
 
-/* An event with its message. */
+/* An event with its message. A start_id identifies one process of a node; it is 0 in a node
+ * that is down and in an event that any process of the node handles. */
 typedef struct
 {
   fb_time_t time;
   uint64_t order;
   event_kind_t kind;
   uint32_t node;     /* node that handles it */
-  uint64_t start_id; /* of the process that handles it; 0 for any */
+  uint64_t start_id; /* of the process that handles it */
   uint32_t entry;
   uint64_t entry_start_id;
-  uint64_t attempt;
+  uint64_t attempt; /* attempt id; for EVENT_FINISH the id of the backend call */
   uint32_t request;
-  uint32_t number; /* of the caller's attempt, or index of the updated member */
+  uint32_t number; /* EVENT_CALLER_TIMEOUT: caller_attempt as in entry_call_t;
+                      EVENT_MEMBER_UPDATE: index of the node whose state it reports */
   fw_member_state_t state;
   fw_outcome_t outcome;
   fb_time_t remaining;
@@ -57,18 +59,18 @@
   uint32_t index;
   uint32_t rank;
   bool repeatable;
-  uint32_t attempts; /* of the caller that have ended */
+  uint32_t ended_attempts; /* attempts of the caller */
   bool done;
   fw_outcome_t outcome;
   char ticket[TEXT_MAX];
 } request_t;
 
-/* An attempt's state at the entry node. */
+/* One attempt of a caller at the entry node, which may send it to several targets in turn. */
 typedef struct
 {
-  uint64_t id;
+  uint64_t attempt_id; /* of the current attempt to reach a target */
   uint32_t request;
-  uint32_t number; /* of the caller's attempt */
+  uint32_t caller_attempt; /* index of the caller's attempt, from 0 */
   uint32_t target_count;
   bool may_have_run;
   bool has_ticket;
@@ -77,7 +79,7 @@
   uint32_t target;
   fb_time_t sent_at;
   fb_time_t deadline;
-} attempt_t;
+} entry_call_t;
 
 /* A call at the target node. */
 typedef struct
@@ -87,7 +89,7 @@
   event_t call;
   bool has_ticket;
   fr_ticket_t ticket;
-  GPtrArray *waiters; /* event_t of the uses that wait for the answer */
+  GPtrArray *waiters; /* event_t of the calls that wait for the answer */
   bool started;
   bool failed;
 } backend_call_t;
@@ -97,7 +99,7 @@
   struct simulation *simulation;
   uint32_t index;
   fb_name_t id;
-  uint64_t start_id; /* 0 while it is down */
+  uint64_t start_id;
   fb_time_t started_at;
   fb_time_t paused_until;
   bool draining;
@@ -108,10 +110,10 @@
   fr_picker_t *picker;
   fr_retry_budget_t *budget;
   fr_throttle_t *throttle;
-  GHashTable *attempts;      /* id -> attempt_t */
+  GHashTable *entry_calls;   /* attempt_id -> entry_call_t */
   GHashTable *backend_calls; /* id -> backend_call_t */
-  GHashTable *seen_attempts; /* ids without a ticket; stands for the transport, which drops
-                                duplicates */
+  GHashTable *seen_attempts; /* ids of attempts without a ticket that arrived; the real
+                                transport drops duplicates itself */
 } node_t;
 
 typedef struct simulation
@@ -143,8 +145,9 @@
 void handle_request (node_t *node, const event_t *event);
 void handle_answer (node_t *node, const event_t *event);
 void handle_timeout (node_t *node, const event_t *event);
-void handle_caller_outcome (simulation_t *simulation, uint32_t request, uint32_t number,
-                            fw_outcome_t outcome, const char *body, const char *ticket);
+void handle_caller_outcome (simulation_t *simulation, uint32_t request_index,
+                            uint32_t caller_attempt, fw_outcome_t outcome, const char *body,
+                            const char *ticket);
 
 /* fixture-target.c */
 void handle_call (node_t *node, const event_t *event);
--- a/packages/call/tests/fixture-target.c
+++ b/packages/call/tests/fixture-target.c
@@ -131,7 +131,7 @@
                  fb_read_clock (simulation->clock) + call->remaining);
 }
 
-/* Adds CALL to the waiters of the running use of its ticket. */
+/* Adds CALL to the waiters of the backend call with the same ticket. */
 static void
 join_backend_call (node_t *node, const event_t *call)
 {
@@ -272,7 +272,7 @@
                                    g_rand_int (simulation->random), simulation->clock);
   node->budget = fr_create_retry_budget (simulation->clock);
   node->throttle = fr_create_throttle (g_rand_int (simulation->random), simulation->clock);
-  node->attempts = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
+  node->entry_calls = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   node->backend_calls
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, free_backend_call);
   node->seen_attempts = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
@@ -287,7 +287,7 @@
   fr_destroy_picker (node->picker);
   fr_destroy_retry_budget (node->budget);
   fr_destroy_throttle (node->throttle);
-  g_hash_table_destroy (node->attempts);
+  g_hash_table_destroy (node->entry_calls);
   g_hash_table_destroy (node->backend_calls);
   g_hash_table_destroy (node->seen_attempts);
 }
--- a/packages/call/tests/test-timed.c
+++ b/packages/call/tests/test-timed.c
@@ -45,7 +45,7 @@
 }
 
 /* Creates admission with a call in every slot and one finished call of SERVICE_TIME, so that
- * the average is known. */
+ * the average service time of rank 0 is known. */
 static void
 set_up (fixture_t *fixture)
 {
@@ -75,7 +75,7 @@
   fb_destroy_clock (fixture->clock);
 }
 
-/* Guards against a call that is queued although it would miss its target, which delays its
+/* Guards against queueing a call that is expected to miss its target time, which delays the
  * caller's retry and occupies a slot. */
 static void
 test_refuse_early (void)
@@ -114,8 +114,8 @@
   tear_down (&fixture);
 }
 
-/* Guards against a slot for a call that would miss its target while another waits behind it,
- * and against the refusal of such a call when no other waits. */
+/* Guards against starting a call that is expected to miss its target time while another call
+ * waits, and against refusing it when no other call waits. */
 static void
 test_late_call_skipped (void)
 {
@@ -140,15 +140,16 @@
     }
 }
 
-/* Guards against calls of a rank without free slots that wait until their callers time out
- * instead of being refused while a retry can still be in time. */
+/* Guards against calls of a less urgent rank that wait while a more urgent rank uses all slots,
+ * until their callers time out, instead of being refused while a retry can still be in time. */
 static void
 test_starved_rank (void)
 {
   static const struct
   {
     bool is_caller_retry;
-    const char *events; /* of call 5 behind call 4, then of call 4 */
+    const char *events; /* at the tick; call 4 stays when it is a caller retry, which is not
+                           refused early because its caller has retried already */
   } cases[] = { { false, "-5 -4 " }, { true, "-5 " } };
 
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -156,7 +157,7 @@
       fixture_t fixture;
 
       set_up (&fixture);
-      /* One call of rank 1, so that its average service time is known. */
+      /* One finished call of rank 1, so that the average service time of rank 1 is known. */
       fr_finish_call (fixture.admission, 2);
       offer_ranked (&fixture, 9, 1, 1000, false);
       fb_advance_clock (fixture.clock, SERVICE_TIME);
