--- a/packages/dist/include/foxtailrun/dist/feed.h
+++ b/packages/dist/include/foxtailrun/dist/feed.h
@@ -1,5 +1,5 @@
-/* Feed of a store that lists endpoints and holds the configuration. A node reads the store
- * itself or follows a node of its zone that does. */
+/* Feed of a store that lists endpoints and holds a configuration document. A node reads the
+ * store itself or follows a node of its zone that does. */
 #ifndef FOXTAILRUN_DIST_FEED_H
 #define FOXTAILRUN_DIST_FEED_H
 
@@ -12,8 +12,8 @@
 typedef enum
 {
   FD_READ_ALL,      /* everything, page by page */
-  FD_READ_CHANGES,  /* changes of endpoints and configuration */
-  FD_READ_DOCUMENT, /* the newest configuration only */
+  FD_READ_CHANGES,  /* changes of endpoints and the document */
+  FD_READ_DOCUMENT, /* the newest document only */
   FD_READ_ENDPOINTS /* changes of endpoints only */
 } fd_read_kind_t;
 
@@ -47,14 +47,14 @@
   /* Starts READ, borrowed. The results go to fd_add_endpoint, fd_remove_endpoint and
    * fd_set_document, then fd_end_read is called. At most one read is outstanding. */
   void (*read) (const fd_read_t *read, void *user);
-  /* Sends REQUEST, borrowed, to PEER; ends by fd_handle_response or fd_fail_request. At most
+  /* Sends REQUEST, borrowed, to RELAY; ends by fd_handle_response or fd_fail_request. At most
    * one request is outstanding. */
-  void (*send_request) (const fw_member_t *peer, const fw_feed_message_t *request, void *user);
+  void (*send_request) (const fw_member_t *relay, const fw_feed_message_t *request, void *user);
   /* Sends RESPONSE, borrowed, to REQUESTER of fd_handle_request. */
   void (*send_response) (void *requester, const fw_feed_message_t *response, void *user);
   /* An endpoint was listed, changed or removed (FW_DEAD). */
   fm_endpoint_fn_t endpoint_changed;
-  /* A newer configuration may be available, see fd_get_document. */
+  /* A newer document may be available, see fd_get_document. */
   void (*document_changed) (void *user);
   void *user;
 } fd_feed_hooks_t;
@@ -102,8 +102,8 @@
 /* Ends the outstanding request, which failed for REASON. */
 void fd_fail_request (fd_feed_t *feed, const char *reason);
 
-/* Returns the newest configuration, borrowed, and sets POSITION to its position; without one
- * the text is empty and POSITION 0. */
+/* Returns the newest configuration document, borrowed, and sets POSITION to its position;
+ * without one the text is empty and POSITION 0. */
 fb_bytes_t fd_get_document (const fd_feed_t *feed, uint64_t *position);
 
 /* Returns whether everything has been read once. */
--- a/packages/dist/include/foxtailrun/dist/node.h
+++ b/packages/dist/include/foxtailrun/dist/node.h
@@ -25,9 +25,9 @@
   void (*read_source) (uint64_t index, void *user);
   /* Applies SNAPSHOT in one step; the receiver retains it as long as it needs it. */
   void (*apply) (fc_snapshot_t *snapshot, const fb_version_t *version, void *user);
-  /* READY tells whether the node may accept calls. */
+  /* READY is whether the node may accept calls. */
   void (*set_ready) (bool ready, void *user);
-  /* A published document was refused as a whole. */
+  /* A published document was refused; no change in it is applied. */
   void (*refused) (const fb_version_t *version, const fc_problems_t *problems, void *user);
   void *user;
 } fd_hooks_t;
--- a/packages/dist/source/dist-feed.c
+++ b/packages/dist/source/dist-feed.c
@@ -90,7 +90,7 @@
 {
   if (feed->consecutive_failures > 0 || feed->read_kind != FD_READ_CHANGES)
     return feed->next_read_at;
-  return feed->as_of + get_read_age (feed, now);
+  return feed->known_at + get_read_age (feed, now);
 }
 
 static void
@@ -178,15 +178,15 @@
   feed->next_read_at = 0;
 }
 
-/* Chooses the next read. A read of changes returns every version of the configuration since the
- * last one, each in full. While versions are published faster than they are read, NEWEST_ONLY
- * reads only the newest one and the endpoints separately. */
+/* Schedules the next read. A read of changes returns every document since the last one, each in
+ * full. While documents are published faster than they are read, NEWEST_ONLY reads only the
+ * newest one and the endpoints separately. */
 static void
 schedule_next_read (fd_feed_t *feed, bool newest_only)
 {
   schedule_read (feed, newest_only ? FD_READ_DOCUMENT : FD_READ_CHANGES);
   if (newest_only)
-    feed->next_read_at = feed->as_of + get_read_age (feed, get_time (feed));
+    feed->next_read_at = feed->known_at + get_read_age (feed, get_time (feed));
 }
 
 static void
@@ -194,7 +194,7 @@
 {
   feed->position = MAX (feed->position, position);
   feed->document_known_position = MAX (feed->document_known_position, position);
-  feed->as_of = MAX (feed->as_of, feed->read_started_at);
+  feed->known_at = MAX (feed->known_at, feed->read_started_at);
   feed->read_completed_at = get_time (feed);
   schedule_next_read (feed, feed->documents_read > 1
                                 && !fd_is_following (feed, feed->read_completed_at));
@@ -204,16 +204,16 @@
 finish_endpoints (fd_feed_t *feed, uint64_t position)
 {
   feed->position = MAX (feed->position, position);
-  feed->as_of = MAX (feed->as_of, feed->document_read_started_at);
+  feed->known_at = MAX (feed->known_at, feed->document_read_started_at);
   feed->read_completed_at = get_time (feed);
-  schedule_next_read (feed, feed->document_read_changed);
+  schedule_next_read (feed, feed->document_read_found_new);
 }
 
 static void
 finish_document (fd_feed_t *feed, uint64_t position)
 {
   feed->document_known_position = MAX (feed->document_known_position, position);
-  feed->document_read_changed = feed->documents_read > 0;
+  feed->document_read_found_new = feed->documents_read > 0;
   if (fd_is_following (feed, get_time (feed)))
     schedule_read (feed, FD_READ_CHANGES);
   else
@@ -238,7 +238,7 @@
   feed->synced = true;
   feed->position = feed->first_page_position;
   feed->document_known_position = feed->first_page_position;
-  feed->as_of = feed->read_started_at;
+  feed->known_at = feed->read_started_at;
   feed->read_completed_at = get_time (feed);
   feed->read_kind = FD_READ_CHANGES;
 }
@@ -340,5 +340,5 @@
 fb_time_t
 fd_get_age (const fd_feed_t *feed)
 {
-  return get_time (feed) - feed->as_of;
+  return get_time (feed) - feed->known_at;
 }
--- a/packages/dist/source/dist-fetch.c
+++ b/packages/dist/source/dist-fetch.c
@@ -32,7 +32,8 @@
     }
 }
 
-/* Returns whether A is to be asked before B: the higher version first, then fewer attempts. */
+/* Returns whether a fetch from A precedes one from B: the higher version first, then fewer
+ * attempts. */
 static bool
 has_priority (const fd_announcer_t *a, const fd_announcer_t *b)
 {
--- a/packages/dist/source/dist-join.c
+++ b/packages/dist/source/dist-join.c
@@ -56,7 +56,7 @@
   node->hooks.send (member, &message, node->hooks.user);
 }
 
-/* Returns whether all members asked so far are in ZONE. */
+/* Returns whether all peers so far are in ZONE. */
 static bool
 are_peers_in_zone (const fd_node_t *node, const fb_name_t *zone)
 {
@@ -70,14 +70,14 @@
   return true;
 }
 
-/* Sends summary requests to CANDIDATES until FD_JOIN_PEERS members are asked, in at least 2
- * zones if there are candidates in 2 zones: the last one is reserved for another zone while all
- * others are in one. */
+/* Makes CANDIDATES peers, up to FD_JOIN_PEERS, and requests their summaries. While all peers
+ * are in one zone, the last place is given to a candidate of another zone, if there is one. */
 static void
 request_summaries (fd_node_t *node, const GPtrArray *candidates)
 {
   fd_join_t *join = &node->join;
 
+  /* The second pass fills the reserved place when there is no other zone. */
   for (guint pass = 0; pass < 2; pass++)
     {
       for (guint i = 0; i < candidates->len && join->peer_count < FD_JOIN_PEERS; i++)
@@ -121,8 +121,8 @@
   return false;
 }
 
-/* Starts the list fetches, and starts a fetch whose page was not delivered again with another
- * member. It begins at the first page, because the pages of two lists do not correspond. */
+/* Starts the list fetches. One that timed out starts over at the first page, from any member,
+ * because the pages of two lists do not correspond. */
 static void
 start_list_fetches (fd_node_t *node, const GPtrArray *candidates)
 {
@@ -236,10 +236,9 @@
     }
 }
 
-/* Requests are sent in rounds. Each round replaces members that did not respond by other
- * candidates and adds members discovered meanwhile. Without any response the node keeps sending
- * requests, reads the source with back-off and stays not ready: a node that is cut off cannot
- * know how old its version is. */
+/* Each round replaces the peers that did not respond and adds candidates discovered meanwhile.
+ * Rounds go on without any response, because a node that is cut off cannot know how old its
+ * version is and must not become ready. */
 void
 fd_tick_join (fd_node_t *node)
 {
@@ -263,14 +262,15 @@
   g_ptr_array_unref (candidates);
 }
 
-/* Returns whether every member asked has responded, at least one of them is ready, and they
- * were chosen from a complete member list. In a restart of the whole fleet no member is ready
- * and the responses say nothing about newer versions, so the node waits. */
+/* Returns whether all peers and the source have responded, at least one peer is ready, and a
+ * complete member list was received, which makes further members candidates. In a restart of
+ * the whole fleet no peer is ready and the responses say nothing about newer versions, so the
+ * node waits. */
 static bool
-has_all_responses (const fd_node_t *node)
+has_caught_up (const fd_node_t *node)
 {
   const fd_join_t *join = &node->join;
-  bool is_ready = false;
+  bool any_peer_ready = false;
 
   if (node->standalone)
     return join->source_responded;
@@ -278,9 +278,9 @@
     {
       if (!join->peers[i].responded)
         return false;
-      is_ready |= join->peers[i].ready;
+      any_peer_ready |= join->peers[i].ready;
     }
-  return is_ready && join->member_list_received && join->source_responded;
+  return any_peer_ready && join->member_list_received && join->source_responded;
 }
 
 void
@@ -295,7 +295,7 @@
    * Peers that are dead or do not deliver are removed from the announcers. */
   if (node->announcer_count > 0)
     return;
-  if (!has_all_responses (node)
+  if (!has_caught_up (node)
       && !(waited >= FD_JOIN_TIMEOUT && (join->peer_responded || join->source_responded)))
     return;
   node->ready = true;
--- a/packages/dist/source/dist-source.c
+++ b/packages/dist/source/dist-source.c
@@ -6,22 +6,23 @@
   const fw_member_t *self;
   uint64_t weight;     /* of this node */
   size_t higher_count; /* members of the zone with a higher weight */
-} ranking_t;
+} weight_comparison_t;
 
 static bool
-rank_member (const fw_member_t *member, void *user)
+compare_weight (const fw_member_t *member, void *user)
 {
-  ranking_t *ranking = user;
+  weight_comparison_t *comparison = user;
   uint64_t weight;
 
-  if (member->state != FW_ALIVE || !fb_equal_name (&member->zone, &ranking->self->zone)
-      || fb_equal_name (&member->id, &ranking->self->id))
+  if (member->state != FW_ALIVE || !fb_equal_name (&member->zone, &comparison->self->zone)
+      || fb_equal_name (&member->id, &comparison->self->id))
     return true;
   weight = fb_get_rendezvous_weight (fb_get_name (&member->zone), fb_get_name (&member->id));
-  if (weight > ranking->weight
-      || (weight == ranking->weight && fb_compare_names (&member->id, &ranking->self->id) > 0))
-    ranking->higher_count++;
-  return ranking->higher_count < FD_ZONE_READERS;
+  if (weight > comparison->weight
+      || (weight == comparison->weight
+          && fb_compare_names (&member->id, &comparison->self->id) > 0))
+    comparison->higher_count++;
+  return comparison->higher_count < FD_ZONE_READERS;
 }
 
 /* Returns whether this node is one of the readers of its zone. Suspect members do not count as
@@ -30,16 +31,16 @@
 static bool
 is_zone_reader (const fd_node_t *node)
 {
-  ranking_t ranking = { .self = fm_get_self (node->members) };
+  weight_comparison_t comparison = { .self = fm_get_self (node->members) };
 
   if (node->standalone)
     return true;
-  if (ranking.self->state == FW_LEAVING || ranking.self->state == FW_DEAD)
+  if (comparison.self->state == FW_LEAVING || comparison.self->state == FW_DEAD)
     return false;
-  ranking.weight = fb_get_rendezvous_weight (fb_get_name (&ranking.self->zone),
-                                             fb_get_name (&ranking.self->id));
-  fm_visit_members (node->members, rank_member, &ranking);
-  return ranking.higher_count < FD_ZONE_READERS;
+  comparison.weight = fb_get_rendezvous_weight (fb_get_name (&comparison.self->zone),
+                                                fb_get_name (&comparison.self->id));
+  fm_visit_members (node->members, compare_weight, &comparison);
+  return comparison.higher_count < FD_ZONE_READERS;
 }
 
 /* Returns whether the members of the zone are known well enough to choose readers. A starting
--- a/packages/dist/source/dist-state.h
+++ b/packages/dist/source/dist-state.h
@@ -39,7 +39,8 @@
 /* Interval at which a node checks whether it is a reader. */
 #define FD_READER_CHECK_PERIOD (1 * FB_SECOND)
 
-/* Members that a joining node asks for their version, and for their member list. */
+/* Peers from which a joining node requests summaries, and member lists that it fetches at one
+ * time. */
 #define FD_JOIN_PEERS 6
 #define FD_JOIN_LIST_FETCHES 2
 
@@ -265,7 +266,7 @@
 /* Starts a join: the node is not ready until it has caught up. */
 void fd_start_join (fd_node_t *node);
 
-/* Handle the responses of members during a join. */
+/* Handle the responses of peers during a join. */
 void fd_handle_join_summary (fd_node_t *node, const fw_control_t *message);
 void fd_handle_join_members (fd_node_t *node, const fw_control_t *message);
 
--- a/packages/dist/source/feed-document.c
+++ b/packages/dist/source/feed-document.c
@@ -1,4 +1,4 @@
-/* Documents of the configuration that a feed stores, and deltas between them. */
+/* Configuration documents that a feed stores, and deltas between them. */
 #include "feed-state.h"
 #include <foxtailrun/config/delta.h>
 
--- a/packages/dist/source/feed-relay.c
+++ b/packages/dist/source/feed-relay.c
@@ -4,13 +4,13 @@
 #include "feed-state.h"
 #include <string.h>
 
-/* Each follower sends one or two requests a second, and a message takes a host with a tenth of
- * a core about a thousandth of its time. */
-#define FOLLOWERS_PER_READER 40
+/* A follower sends one or two requests a second, each of which takes a relay on a tenth of a
+ * core about a thousandth of its time. */
+#define NODES_PER_READER 40
 
-/* Candidates after the readers that a node may follow when readers do not respond. */
+/* Nodes next in weight that a node may follow when the readers do not respond. */
 #define SPARE_RELAYS 2
-#define CANDIDATES_MAX 128 /* enough for the readers of a zone of 5,000 nodes */
+#define CANDIDATES_MAX 128 /* enough for the readers and spares of a zone of 5,000 nodes */
 
 /* Time for which a relay is not chosen again after a failed request. */
 #define RELAY_AVOID_TIME (2 * FB_SECOND)
@@ -40,7 +40,7 @@
 fd_is_following (const fd_feed_t *feed, fb_time_t now)
 {
   return feed->relay_address.len > 0
-         && now < feed->relay_as_of + 2 * feed->options.poll_interval;
+         && now < feed->relay_known_at + 2 * feed->options.poll_interval;
 }
 
 static bool
@@ -60,69 +60,69 @@
       = (fd_avoided_relay_t){ feed->relay_address, now + RELAY_AVOID_TIME };
 }
 
-/* Nodes of the zone, ranked by weight. */
+/* Nodes of this node's zone, and those of them with the highest rendezvous weights. */
 typedef struct
 {
   const fd_feed_t *feed;
-  const fw_member_t *candidates[CANDIDATES_MAX]; /* of the listing; the highest weight first */
+  const fw_member_t *candidates[CANDIDATES_MAX]; /* borrowed, by descending weight */
   uint64_t weights[CANDIDATES_MAX];
   size_t candidate_count;
   size_t node_count; /* of the zone */
-} ranking_t;
+} zone_nodes_t;
 
 static bool
-is_ranked (const ranking_t *ranking, const fb_name_t *address)
+is_candidate (const zone_nodes_t *zone_nodes, const fb_name_t *address)
 {
-  for (size_t i = 0; i < ranking->candidate_count; i++)
-    if (fb_equal_name (&ranking->candidates[i]->address, address))
+  for (size_t i = 0; i < zone_nodes->candidate_count; i++)
+    if (fb_equal_name (&zone_nodes->candidates[i]->address, address))
       return true;
   return false;
 }
 
 static void
-rank_endpoint (const fw_endpoint_t *endpoint, void *user)
+add_candidate (const fw_endpoint_t *endpoint, void *user)
 {
-  ranking_t *ranking = user;
+  zone_nodes_t *zone_nodes = user;
   const fw_member_t *member = &endpoint->member;
-  const fd_feed_options_t *options = &ranking->feed->options;
+  const fd_feed_options_t *options = &zone_nodes->feed->options;
   uint64_t weight;
   size_t index;
 
   if (member->state != FW_ALIVE || !fb_equal_name (&member->zone, &options->zone)
-      || is_ranked (ranking, &member->address))
+      || is_candidate (zone_nodes, &member->address))
     return;
-  ranking->node_count++;
+  zone_nodes->node_count++;
   weight
       = fb_get_rendezvous_weight (fb_get_name (&options->zone), fb_get_name (&member->address));
-  for (index = ranking->candidate_count; index > 0 && ranking->weights[index - 1] < weight;
-       index--)
+  for (index = zone_nodes->candidate_count;
+       index > 0 && zone_nodes->weights[index - 1] < weight; index--)
     {
       if (index == CANDIDATES_MAX)
         continue;
-      ranking->candidates[index] = ranking->candidates[index - 1];
-      ranking->weights[index] = ranking->weights[index - 1];
+      zone_nodes->candidates[index] = zone_nodes->candidates[index - 1];
+      zone_nodes->weights[index] = zone_nodes->weights[index - 1];
     }
   if (index == CANDIDATES_MAX)
     return;
-  ranking->candidates[index] = member;
-  ranking->weights[index] = weight;
-  ranking->candidate_count = MIN (ranking->candidate_count + 1, CANDIDATES_MAX);
+  zone_nodes->candidates[index] = member;
+  zone_nodes->weights[index] = weight;
+  zone_nodes->candidate_count = MIN (zone_nodes->candidate_count + 1, CANDIDATES_MAX);
 }
 
-/* Returns the node in RANKING to follow, or NULL when this node should read the store. */
+/* Returns the node of ZONE_NODES to follow, or NULL when this node should read the store. */
 static const fw_member_t *
-choose_relay (const fd_feed_t *feed, const ranking_t *ranking, fb_time_t now)
+choose_relay (const fd_feed_t *feed, const zone_nodes_t *zone_nodes, fb_time_t now)
 {
-  size_t readers = 1 + ranking->node_count / FOLLOWERS_PER_READER;
-  size_t candidates = MIN (readers + SPARE_RELAYS, ranking->candidate_count);
+  size_t readers = 1 + zone_nodes->node_count / NODES_PER_READER;
+  size_t candidates = MIN (readers + SPARE_RELAYS, zone_nodes->candidate_count);
   size_t first = fb_hash_str (fb_get_name (&feed->options.address), 0) % readers;
 
-  for (size_t i = 0; i < readers && i < ranking->candidate_count; i++)
-    if (fb_equal_name (&ranking->candidates[i]->address, &feed->options.address))
+  for (size_t i = 0; i < readers && i < zone_nodes->candidate_count; i++)
+    if (fb_equal_name (&zone_nodes->candidates[i]->address, &feed->options.address))
       return NULL;
   for (size_t i = 0; i < candidates; i++)
     {
-      const fw_member_t *member = ranking->candidates[(first + i) % candidates];
+      const fw_member_t *member = zone_nodes->candidates[(first + i) % candidates];
 
       if (!fb_equal_name (&member->address, &feed->options.address)
           && !is_avoided (feed, &member->address, now))
@@ -141,12 +141,13 @@
           address->len > 0 ? "following a relay" : "reading the store directly",
           FB_TEXT ("relay", address->data), FB_TEXT ("reason", reason),
           FB_NUMBER ("position", feed->position),
-          FB_NUMBER ("age_ms", (now - feed->as_of) / FB_MILLISECOND));
+          FB_NUMBER ("age_ms", (now - feed->known_at) / FB_MILLISECOND));
 }
 
 static void
-send_request (fd_feed_t *feed, const fw_member_t *peer, fb_time_t now)
+send_request (fd_feed_t *feed, const fw_member_t *relay, fb_time_t now)
 {
+  /* An announced document is read from the store and needs no second announcement. */
   fw_feed_message_t request = { .kind = FW_FEED_REQUEST,
                                 .feed_id = feed->relay_feed_id,
                                 .sequence = feed->relay_sequence,
@@ -156,7 +157,7 @@
 
   feed->request_outstanding = true;
   feed->request_sent_at = now;
-  feed->hooks.send_request (peer, &request, feed->hooks.user);
+  feed->hooks.send_request (relay, &request, feed->hooks.user);
 }
 
 bool
@@ -169,7 +170,7 @@
 fd_update_relay (fd_feed_t *feed, fb_time_t now)
 {
   static const fb_name_t no_relay;
-  ranking_t ranking = { .feed = feed };
+  zone_nodes_t zone_nodes = { .feed = feed };
   const fw_member_t *relay;
 
   if (!fd_can_request (feed) || now < feed->next_request_at)
@@ -180,8 +181,8 @@
       set_relay (feed, &no_relay, "other nodes follow this one", now);
       return;
     }
-  fm_visit_changes (feed->listing, 0, rank_endpoint, &ranking);
-  relay = choose_relay (feed, &ranking, now);
+  fm_visit_changes (feed->listing, 0, add_candidate, &zone_nodes);
+  relay = choose_relay (feed, &zone_nodes, now);
   if (relay)
     {
       set_relay (feed, &relay->address, "a reader of the zone", now);
@@ -201,7 +202,7 @@
   FB_LOG (feed->log, FB_LOG_INFO, FD_FEED_LOG_SERVICE, "request to relay failed",
           FB_TEXT ("relay", feed->relay_address.data), FB_TEXT ("reason", reason),
           FB_NUMBER ("position", feed->position),
-          FB_NUMBER ("age_ms", (now - feed->as_of) / FB_MILLISECOND));
+          FB_NUMBER ("age_ms", (now - feed->known_at) / FB_MILLISECOND));
   avoid_relay (feed, now);
   feed->next_request_at = now + RELAY_RETRY_DELAY;
 }
@@ -224,7 +225,7 @@
     fm_end_full_read (feed->listing);
 }
 
-/* Applies the configuration delta in UPDATE, or schedules a read of the configuration. */
+/* Applies the document delta in UPDATE, or schedules a read of the document. */
 static void
 update_document (fd_feed_t *feed, const fw_feed_message_t *update)
 {
@@ -248,10 +249,10 @@
   feed->document_known_position = MAX (feed->document_known_position, update->position);
 }
 
-/* Returns, by this node's clock, the time as of which UPDATE is complete. The part of the round
- * trip that the request did not wait at the sender counts as the way back, the worst case. */
+/* Returns, by this node's clock, the time up to which UPDATE is complete. The round trip less
+ * the wait at the relay is assumed to be the time of the way back, the worst case. */
 static fb_time_t
-get_as_of (const fd_feed_t *feed, const fw_feed_message_t *update, fb_time_t now)
+get_known_at (const fd_feed_t *feed, const fw_feed_message_t *update, fb_time_t now)
 {
   fb_time_t return_time
       = now - feed->request_sent_at - (fb_time_t)update->request_wait_us * FB_MICROSECOND;
@@ -270,8 +271,8 @@
   feed->position = update->position;
   feed->relay_feed_id = update->feed_id;
   feed->relay_sequence = update->sequence;
-  feed->relay_as_of = get_as_of (feed, update, now);
-  feed->as_of = MAX (feed->as_of, feed->relay_as_of);
+  feed->relay_known_at = get_known_at (feed, update, now);
+  feed->known_at = MAX (feed->known_at, feed->relay_known_at);
   update_document (feed, update);
   fb_add_counter (feed->updates_received, 1);
   feed->hooks.document_changed (feed->hooks.user);
@@ -308,7 +309,7 @@
 {
   return feed->synced && feed->read_kind != FD_READ_ALL && feed->consecutive_failures == 0
          && fm_is_settled (feed->listing)
-         && now < feed->as_of + 2 * feed->options.poll_interval;
+         && now < feed->known_at + 2 * feed->options.poll_interval;
 }
 
 static void
@@ -328,7 +329,7 @@
           .position = feed->position,
           .document_position = feed->documents[0].position,
           .digest = feed->documents[0].digest,
-          .age_us = (uint64_t)((now - feed->as_of) / FB_MICROSECOND),
+          .age_us = (uint64_t)((now - feed->known_at) / FB_MICROSECOND),
           .request_wait_us = (uint64_t)((now - pending->arrived_at) / FB_MICROSECOND) };
 
   update.complete = pending->message.feed_id != feed->id
@@ -352,7 +353,7 @@
 {
   const fw_feed_message_t *request = &pending->message;
 
-  if (feed->position < request->position || now >= feed->as_of + feed->options.poll_interval)
+  if (feed->position < request->position || now >= feed->known_at + feed->options.poll_interval)
     return false;
   return request->feed_id != feed->id || request->sequence != fm_get_sequence (feed->listing)
          || request->document_position < feed->documents[0].position
--- a/packages/dist/source/feed-state.h
+++ b/packages/dist/source/feed-state.h
@@ -13,7 +13,7 @@
 /* Relays avoided at one time. */
 #define FD_AVOIDED_RELAYS_MAX 8
 
-/* A version of the configuration. */
+/* A configuration document at one position of the store. */
 typedef struct
 {
   uint64_t position;
@@ -50,27 +50,27 @@
   /* Reads of the store. */
   fd_read_kind_t read_kind; /* of the outstanding or next read */
   bool read_outstanding;
-  bool synced;                /* everything was read once */
-  uint32_t documents_read;    /* by the outstanding or last read */
-  bool document_read_changed; /* the last read of the configuration alone found a new one */
-  fb_time_t next_read_at;     /* unless it follows from the age of the known state */
-  fb_time_t read_started_at;  /* of the outstanding or last read */
-  fb_time_t document_read_started_at; /* of the last read of the configuration alone */
-  fb_time_t as_of;                    /* everything is known as of this time */
+  bool synced;                        /* everything was read once */
+  uint32_t documents_read;            /* by the outstanding or last read */
+  bool document_read_found_new;       /* the last FD_READ_DOCUMENT found one */
+  fb_time_t next_read_at;             /* of a retry, or of a read other than FD_READ_CHANGES */
+  fb_time_t read_started_at;          /* of the outstanding or last read */
+  fb_time_t document_read_started_at; /* of the last FD_READ_DOCUMENT */
+  fb_time_t known_at;                 /* everything up to this time is known */
   uint32_t consecutive_failures;      /* of reads */
   char *page_key; /* last key of the previous page, in a full read of several pages */
-  uint64_t first_page_position;              /* of the full read */
-  uint64_t position;                         /* up to which endpoints are known */
-  uint64_t document_known_position;          /* up to which the configuration is known */
-  uint64_t announced_document_position;      /* of a document that another node has */
+  uint64_t first_page_position;         /* of the full read */
+  uint64_t position;                    /* all endpoint changes up to here are known */
+  uint64_t document_known_position;     /* no newer document exists up to here */
+  uint64_t announced_document_position; /* of a relay's document, to be read from the store */
   fd_document_t documents[FD_DOCUMENTS_MAX]; /* newest first */
 
   /* Following another node. */
   fb_name_t relay_address; /* empty while this node reads the store */
   bool request_outstanding;
   fb_time_t request_sent_at; /* of the outstanding request */
-  fb_time_t next_request_at; /* or when a relay is chosen next */
-  fb_time_t relay_as_of;     /* AS_OF of the last update received */
+  fb_time_t next_request_at; /* when a relay is next chosen and sent a request */
+  fb_time_t relay_known_at;  /* KNOWN_AT of the last update received */
   uint64_t relay_feed_id;    /* feed whose changes RELAY_SEQUENCE counts */
   uint64_t relay_sequence;
   fd_avoided_relay_t avoided_relays[FD_AVOIDED_RELAYS_MAX];
--- a/packages/dist/tests/fixture-feed.c
+++ b/packages/dist/tests/fixture-feed.c
@@ -9,8 +9,8 @@
 
 #define REQUEST_TIMEOUT (FEED_POLL_INTERVAL * 3 / 2)
 
-/* Period in which each instance writes its entry, in steps. */
-#define ENTRY_WRITE_STEPS 200
+/* Period in which each instance updates its endpoint in the store, in steps. */
+#define ENDPOINT_WRITE_STEPS 200
 
 typedef struct
 {
@@ -37,7 +37,7 @@
 {
   fw_member_state_t state;
   uint64_t position; /* of the last write */
-} entry_t;
+} listed_endpoint_t;
 
 struct fleet
 {
@@ -45,7 +45,7 @@
   fb_counters_t *counters;
   size_t count;
   node_t nodes[FEED_NODES_MAX];
-  entry_t entries[FEED_NODES_MAX];
+  listed_endpoint_t endpoints[FEED_NODES_MAX];
   uint64_t position;
   uint64_t compacted_position; /* changes before this position are compacted */
   bool store_available;
@@ -70,7 +70,7 @@
 {
   return (fw_endpoint_t){ .member = { .id = make_name ("i-", number),
                                       .incarnation = 1,
-                                      .state = fleet->entries[number].state,
+                                      .state = fleet->endpoints[number].state,
                                       .address = make_name ("10.0.0.", number),
                                       .call_port = 80,
                                       .zone = make_name ("zone-", number % FEED_ZONES),
@@ -92,7 +92,7 @@
 }
 
 static node_t *
-find_peer (fleet_t *fleet, const fb_name_t *address)
+find_node (fleet_t *fleet, const fb_name_t *address)
 {
   for (size_t i = 0; i < fleet->count; i++)
     {
@@ -112,10 +112,10 @@
 }
 
 static void
-send_request (const fw_member_t *peer, const fw_feed_message_t *request, void *user)
+send_request (const fw_member_t *member, const fw_feed_message_t *request, void *user)
 {
   node_t *node = user;
-  node_t *relay = find_peer (node->fleet, &peer->address);
+  node_t *relay = find_node (node->fleet, &member->address);
 
   g_assert_false (node->request_outstanding);
   g_assert_true (relay != node);
@@ -155,23 +155,23 @@
 {
 }
 
-/* Delivers the entries written after POSITION to NODE; removed ones only WITH_REMOVED. */
+/* Delivers the endpoints changed after POSITION to NODE; removed ones only WITH_REMOVED. */
 static void
-deliver_entries (node_t *node, uint64_t position, bool with_removed)
+deliver_endpoints (node_t *node, uint64_t position, bool with_removed)
 {
   fleet_t *fleet = node->fleet;
 
   for (size_t i = 0; i < fleet->count; i++)
     {
-      const entry_t *entry = &fleet->entries[i];
+      const listed_endpoint_t *listed = &fleet->endpoints[i];
       fw_endpoint_t endpoint = make_endpoint (fleet, i);
 
-      if (entry->position <= position)
+      if (listed->position <= position)
         continue;
-      if (entry->state != FW_DEAD)
-        fd_add_endpoint (node->feed, entry->position, &endpoint);
+      if (listed->state != FW_DEAD)
+        fd_add_endpoint (node->feed, listed->position, &endpoint);
       else if (with_removed)
-        fd_remove_endpoint (node->feed, entry->position, &endpoint.member.id);
+        fd_remove_endpoint (node->feed, listed->position, &endpoint.member.id);
     }
 }
 
@@ -198,14 +198,14 @@
     deliver_document (node);
   else if (read->kind == FD_READ_ALL)
     {
-      deliver_entries (node, 0, false);
+      deliver_endpoints (node, 0, false);
       deliver_document (node);
     }
   else if (read->after_position < fleet->compacted_position)
     result.kind = FD_RESULT_COMPACTED;
   else
     {
-      deliver_entries (node, read->after_position, true);
+      deliver_endpoints (node, read->after_position, true);
       if (read->kind == FD_READ_CHANGES && fleet->text_position > read->after_position)
         deliver_document (node);
     }
@@ -259,11 +259,12 @@
 }
 
 static void
-rewrite_entries (fleet_t *fleet)
+rewrite_endpoints (fleet_t *fleet)
 {
   for (size_t i = 0; i < fleet->count; i++)
-    if (fleet->entries[i].state != FW_DEAD && (fleet->steps + i * 7) % ENTRY_WRITE_STEPS == 0)
-      fleet->entries[i].position = ++fleet->position;
+    if (fleet->endpoints[i].state != FW_DEAD
+        && (fleet->steps + i * 7) % ENDPOINT_WRITE_STEPS == 0)
+      fleet->endpoints[i].position = ++fleet->position;
 }
 
 void
@@ -272,7 +273,7 @@
   for (; time > 0; time -= STEP)
     {
       fleet->steps++;
-      rewrite_entries (fleet);
+      rewrite_endpoints (fleet);
       for (size_t i = 0; i < fleet->count; i++)
         step_node (&fleet->nodes[i]);
       fb_advance_clock (fleet->clock, STEP);
@@ -290,7 +291,7 @@
   fleet->store_available = true;
   feed_publish (fleet, "first");
   for (size_t i = 0; i < count; i++)
-    feed_set_entry (fleet, i, FW_ALIVE);
+    feed_set_endpoint (fleet, i, FW_ALIVE);
   for (size_t i = 0; i < count; i++)
     {
       node_t *node = &fleet->nodes[i];
@@ -346,9 +347,9 @@
 }
 
 void
-feed_set_entry (fleet_t *fleet, size_t node, fw_member_state_t state)
+feed_set_endpoint (fleet_t *fleet, size_t node, fw_member_state_t state)
 {
-  fleet->entries[node] = (entry_t){ state, ++fleet->position };
+  fleet->endpoints[node] = (listed_endpoint_t){ state, ++fleet->position };
 }
 
 void
@@ -372,9 +373,9 @@
 }
 
 fw_member_state_t
-feed_get_entry (const fleet_t *fleet, size_t node)
+feed_get_endpoint_state (const fleet_t *fleet, size_t node)
 {
-  return fleet->entries[node].state;
+  return fleet->endpoints[node].state;
 }
 
 bool
--- a/packages/dist/tests/fixture-feed.h
+++ b/packages/dist/tests/fixture-feed.h
@@ -18,8 +18,8 @@
 typedef enum
 {
   FEED_NO_FAULT,
-  FEED_UNRESPONSIVE,     /* accepts requests and never responds; does nothing itself */
-  FEED_REFUSING,         /* refuses requests; does nothing itself */
+  FEED_UNRESPONSIVE,     /* accepts requests, never responds; sends no reads or requests */
+  FEED_REFUSING,         /* refuses requests; sends no reads or requests */
   FEED_STORE_UNREACHABLE /* the store refuses its reads */
 } feed_fault_t;
 
@@ -37,11 +37,12 @@
 /* Sets whether the store serves reads or refuses them all. */
 void feed_set_store_available (fleet_t *fleet, bool available);
 
-/* Compacts all changes of the store up to now. */
+/* Compacts the changes of the store up to now: reads of changes after an earlier position get
+ * FD_RESULT_COMPACTED. */
 void feed_compact_store (fleet_t *fleet);
 
-/* Changes the entry of NODE; FW_DEAD removes it. */
-void feed_set_entry (fleet_t *fleet, size_t node, fw_member_state_t state);
+/* Changes the endpoint of NODE in the store; FW_DEAD removes it. */
+void feed_set_endpoint (fleet_t *fleet, size_t node, fw_member_state_t state);
 
 void feed_publish (fleet_t *fleet, const char *text);
 
@@ -51,8 +52,8 @@
 /* Returns the state of OTHER as known to NODE, FW_DEAD when it is unknown. */
 fw_member_state_t feed_get_state (const fleet_t *fleet, size_t node, size_t other);
 
-/* Returns the state of the entry of NODE in the store. */
-fw_member_state_t feed_get_entry (const fleet_t *fleet, size_t node);
+/* Returns the state of the endpoint of NODE in the store. */
+fw_member_state_t feed_get_endpoint_state (const fleet_t *fleet, size_t node);
 
 /* Returns whether NODE has the newest document. */
 bool feed_has_newest_document (const fleet_t *fleet, size_t node);
@@ -60,7 +61,7 @@
 /* Returns whether NODE has no fault. */
 bool feed_is_healthy (const fleet_t *fleet, size_t node);
 
-/* Return the reads of the store by all nodes, and those of the document alone. */
+/* Return the number of reads of the store by all nodes, and of those of the document alone. */
 size_t feed_count_reads (const fleet_t *fleet);
 size_t feed_count_document_reads (const fleet_t *fleet);
 
--- a/packages/dist/tests/test-feed.c
+++ b/packages/dist/tests/test-feed.c
@@ -84,13 +84,13 @@
         feed_advance (fleet, 4 * FB_SECOND + offset);
         for (size_t zone = 0; zone < FEED_ZONES; zone++)
           feed_set_fault (fleet, find_reader (fleet, zone), cases[i].fault);
-        feed_set_entry (fleet, 5, FW_LEAVING);
+        feed_set_endpoint (fleet, 5, FW_LEAVING);
         feed_publish (fleet, "second");
         if (cases[i].compact)
           feed_compact_store (fleet);
         feed_advance (fleet, FEED_CHANGE_DEADLINE);
         check_healthy_nodes (fleet, 5, FW_LEAVING);
-        feed_set_entry (fleet, 5, FW_DEAD);
+        feed_set_endpoint (fleet, 5, FW_DEAD);
         feed_advance (fleet, FEED_CHANGE_DEADLINE);
         check_healthy_nodes (fleet, 5, FW_DEAD);
         feed_destroy_fleet (fleet);
@@ -114,7 +114,7 @@
             feed_set_fault (fleet, i, FEED_UNRESPONSIVE);
           feed_set_fault (fleet, reader, FEED_UNRESPONSIVE);
         }
-      feed_set_entry (fleet, 5, FW_LEAVING);
+      feed_set_endpoint (fleet, 5, FW_LEAVING);
       feed_publish (fleet, "second");
       feed_advance (fleet, FEED_CHANGE_DEADLINE);
       check_healthy_nodes (fleet, 5, FW_LEAVING);
@@ -156,7 +156,7 @@
   {
     uint64_t update_position;      /* of an update that removes the endpoint */
     uint64_t late_update_position; /* of an older update that lists it; 0 for none */
-    uint64_t entry_position;       /* of the entry in a read that began before the update */
+    uint64_t endpoint_position;    /* of the endpoint in a read that began before the update */
     fw_member_state_t state;
   } cases[] = {
     { 60, 0, 30, FW_DEAD },  { 60, 0, 60, FW_DEAD },   { 60, 0, 61, FW_ALIVE },
@@ -193,9 +193,9 @@
       fd_handle_response (feed, &update);
       if (cases[i].late_update_position > 0)
         fd_handle_response (feed, &late_update);
-      fd_add_endpoint (feed, cases[i].entry_position, &listed);
-      fd_end_read (
-          feed, &(fd_read_result_t){ FD_RESULT_COMPLETE, .position = cases[i].entry_position });
+      fd_add_endpoint (feed, cases[i].endpoint_position, &listed);
+      fd_end_read (feed, &(fd_read_result_t){ FD_RESULT_COMPLETE,
+                                              .position = cases[i].endpoint_position });
       g_assert_cmpint (state, ==, cases[i].state);
       fd_destroy_feed (feed);
       fb_destroy_counters (counters);
@@ -203,8 +203,8 @@
     }
 }
 
-/* Guards against endpoints that are removed in an outage of the store although their entries
- * come back, and against ones that stay afterwards although their entries do not. */
+/* Guards against endpoints that are removed in an outage of the store although they are
+ * listed again afterwards, and against ones that stay although they are not. */
 static void
 test_outage (void)
 {
@@ -213,17 +213,17 @@
   feed_advance (fleet, 4 * FB_SECOND);
   feed_set_store_available (fleet, false);
   feed_advance (fleet, 3 * FB_SECOND);
-  feed_set_entry (fleet, 5, FW_DEAD);
-  feed_set_entry (fleet, 6, FW_DEAD);
+  feed_set_endpoint (fleet, 5, FW_DEAD);
+  feed_set_endpoint (fleet, 6, FW_DEAD);
   feed_compact_store (fleet);
   feed_advance (fleet, FB_SECOND);
   check_healthy_nodes (fleet, 5, FW_ALIVE);
   feed_set_store_available (fleet, true);
   feed_advance (fleet, 1500 * FB_MILLISECOND);
   check_healthy_nodes (fleet, 5, FW_ALIVE);
-  feed_set_entry (fleet, 5, FW_ALIVE);
-  /* A node may read the store again only after a back-off; then the entry has 2 s to come back.
-   */
+  feed_set_endpoint (fleet, 5, FW_ALIVE);
+  /* A node may read the store again only after a back-off; then the endpoint must return within
+   * 2 s. */
   feed_advance (fleet, FEED_CHANGE_DEADLINE + 2 * FB_SECOND);
   check_healthy_nodes (fleet, 5, FW_ALIVE);
   check_healthy_nodes (fleet, 6, FW_DEAD);
@@ -305,7 +305,7 @@
           feed_set_fault (fleet, i, FEED_NO_FAULT);
       /* Time without new faults until the deadline applies to every node. */
       feed_advance (fleet, 3 * FB_SECOND + FEED_CHANGE_DEADLINE);
-      feed_set_entry (fleet, changed, states[g_rand_int_range (random, 0, 3)]);
+      feed_set_endpoint (fleet, changed, states[g_rand_int_range (random, 0, 3)]);
       feed_publish (fleet, text);
       feed_advance (fleet, FEED_CHANGE_DEADLINE);
       g_test_message ("seed %u round %d", seed, round);
@@ -313,7 +313,8 @@
         for (size_t j = 0; j < NODES && feed_is_healthy (fleet, i); j++)
           {
             g_assert_true (feed_has_newest_document (fleet, i));
-            g_assert_cmpint (feed_get_state (fleet, i, j), ==, feed_get_entry (fleet, j));
+            g_assert_cmpint (feed_get_state (fleet, i, j), ==,
+                             feed_get_endpoint_state (fleet, j));
           }
       g_free (text);
     }
--- a/packages/dist/tests/test-join.c
+++ b/packages/dist/tests/test-join.c
@@ -1,4 +1,5 @@
-/* When a node becomes ready, which members it asks and how many requests it responds to. */
+/* When a node becomes ready, from which peers it requests summaries and how many requests it
+ * responds to. */
 #include "fixture-node.h"
 
 /* Guards against a node that accepts calls before it has caught up, and against one that never
@@ -83,7 +84,7 @@
   destroy_fixture (fixture);
 }
 
-/* Guards against a join that asks members of one zone only, or too many members. */
+/* Guards against a join whose peers are in one zone only, or too many. */
 static void
 test_join_requests (void)
 {
