--- a/packages/member/include/foxtailrun/member/listing.h
+++ b/packages/member/include/foxtailrun/member/listing.h
@@ -1,5 +1,5 @@
 /* Endpoints listed by a platform. Removals are delayed while the list cannot be read and for a
- * grace period after that, since entries that expired meanwhile are registered again. */
+ * grace period after that, since endpoints that expired meanwhile are registered again. */
 #ifndef FOXTAILRUN_MEMBER_LISTING_H
 #define FOXTAILRUN_MEMBER_LISTING_H
 
@@ -20,11 +20,11 @@
 /* Frees the listing; NULL is allowed. */
 void fm_destroy_listing (fm_listing_t *listing);
 
-/* Adds or updates the entry of one endpoint; ENDPOINT is copied. */
+/* Adds or updates one endpoint; ENDPOINT is copied. */
 void fm_add_endpoint (fm_listing_t *listing, const fw_endpoint_t *endpoint);
 
-/* Removes the entry of ID, which was deleted or no longer describes an endpoint; until the
- * listing is settled the entry is only marked as missing. */
+/* Removes the endpoint ID, whose description in the source was deleted or is no longer one of
+ * an endpoint; until the listing is settled it is only marked as missing. */
 void fm_remove_endpoint (fm_listing_t *listing, const fb_name_t *id);
 
 /* Begin and end a read of the complete list: endpoints not added in between are removed. */
--- a/packages/member/source/member-update.c
+++ b/packages/member/source/member-update.c
@@ -10,8 +10,9 @@
     table->hooks.changed (&entry->member, previous, table->hooks.user);
 }
 
+/* Sets the deadline of the state of ENTRY, and counts suspicions and deaths. */
 static void
-start_deadline (fm_table_t *table, fm_entry_t *entry)
+record_state (fm_table_t *table, fm_entry_t *entry)
 {
   fb_time_t now = fb_read_clock (table->clock);
 
@@ -35,7 +36,7 @@
   fw_member_t previous = entry->member;
 
   fm_replace_entry (table, entry, member);
-  start_deadline (table, entry);
+  record_state (table, entry);
   fm_queue_entry (table, entry);
   report_change (table, entry, &previous);
 }
@@ -69,8 +70,8 @@
   update_entry (table, entry, &next);
 }
 
-/* Handles an update about this node; the only change that it can cause is an incarnation above
- * that of UPDATE. */
+/* Handles an update about this node: refutes it with an incarnation above that of UPDATE, or
+ * calls the leave hook. */
 static void
 refute_update (fm_table_t *table, const fw_member_t *update)
 {
@@ -79,7 +80,8 @@
 
   if (!fw_overrides (update, self))
     return;
-  /* This process has not announced its leaving, so the update comes from the host list. */
+  /* This process has not announced its leaving, so another node read in the host list that this
+   * node must leave (see fm_mark_leaving). */
   if (update->state == FW_LEAVING && update->incarnation == self->incarnation)
     {
       fm_request_leaving (table);
@@ -106,8 +108,7 @@
 {
   fm_entry_t *entry;
 
-  /* If tables added dead members that they do not know, two of them would send the same death
-   * to each other forever. */
+  /* Tables that added unknown dead members would send the same death to each other forever. */
   if (update->state == FW_DEAD)
     return;
   if (update->address.len == 0 || update->control_port == 0
@@ -117,7 +118,7 @@
       return;
     }
   entry = fm_insert_entry (table, update);
-  start_deadline (table, entry);
+  record_state (table, entry);
   /* Other members already know the entries of a peer's list. */
   if (source != FM_SOURCE_LIST)
     fm_queue_entry (table, entry);
@@ -127,8 +128,8 @@
 /* Restricts UPDATE, a suspicion or death of a member that is alive here under the same
  * incarnation, to what SOURCE permits; returns false when it must not be applied. */
 static bool
-restrict_accusation (fm_table_t *table, fm_entry_t *entry, fw_member_t *update,
-                     fm_source_t source)
+restrict_suspicion_or_death (fm_table_t *table, fm_entry_t *entry, fw_member_t *update,
+                             fm_source_t source)
 {
   /* After a partition, lists of the other side declare all members of this side dead. Probe the
    * member instead. */
@@ -192,7 +193,7 @@
       next = entry->member;
       next.state = update->state;
       if (entry->member.state == FW_ALIVE && next.state != FW_LEAVING
-          && !restrict_accusation (table, entry, &next, source))
+          && !restrict_suspicion_or_death (table, entry, &next, source))
         return;
     }
   else if (update->address.len == 0 || update->control_port == 0)
--- a/packages/member/tests/fixture-network.c
+++ b/packages/member/tests/fixture-network.c
@@ -14,7 +14,7 @@
 {
   run_state_t state;
   unsigned group;
-  unsigned epoch; /* incremented by each start and stop */
+  unsigned run_generation; /* incremented by each start and stop */
   GQueue waiting;
   fb_time_t last_stream_arrival[FX_NODES_MAX]; /* by receiving node */
 } node_t;
@@ -23,11 +23,11 @@
 typedef struct
 {
   fb_time_t due_at;
-  uint64_t serial;
+  uint64_t number; /* in order of creation, for events due at the same time */
   size_t from;
   size_t to;
-  unsigned from_epoch;
-  unsigned to_epoch;
+  unsigned from_generation;
+  unsigned to_generation;
   fx_channel_t channel;
   GBytes *bytes;
 } event_t;
@@ -39,7 +39,7 @@
   fb_clock_t *clock;
   GRand *random;
   GSequence *events;
-  uint64_t serial;
+  uint64_t events_created;
   size_t count;
   node_t nodes[FX_NODES_MAX];
 };
@@ -52,7 +52,7 @@
 
   if (left->due_at != right->due_at)
     return left->due_at < right->due_at ? -1 : 1;
-  return left->serial < right->serial ? -1 : left->serial > right->serial;
+  return left->number < right->number ? -1 : left->number > right->number;
 }
 
 static void
@@ -72,11 +72,11 @@
   event_t *event = g_new0 (event_t, 1);
 
   event->due_at = at;
-  event->serial = ++network->serial;
+  event->number = ++network->events_created;
   event->from = from;
   event->to = to;
-  event->from_epoch = network->nodes[from].epoch;
-  event->to_epoch = network->nodes[to].epoch;
+  event->from_generation = network->nodes[from].run_generation;
+  event->to_generation = network->nodes[to].run_generation;
   event->channel = channel;
   event->bytes = bytes ? g_bytes_ref (bytes) : NULL;
   g_sequence_insert_sorted (network->events, event, compare_events, NULL);
@@ -109,7 +109,7 @@
 
   if (!event->bytes)
     {
-      if (to->epoch == event->to_epoch && to->state != STOPPED)
+      if (to->run_generation == event->to_generation && to->state != STOPPED)
         {
           if (to->state == RUNNING)
             run_tick (network, event->to);
@@ -119,7 +119,8 @@
     }
   else if (to->state == STOPPED || from->group != to->group
            || (event->channel == FX_STREAM
-               && (from->epoch != event->from_epoch || to->epoch != event->to_epoch)))
+               && (from->run_generation != event->from_generation
+                   || to->run_generation != event->to_generation)))
     {
       /* The message is lost. */
     }
@@ -212,7 +213,7 @@
 
   g_assert_cmpint (network->nodes[node].state, ==, STOPPED);
   network->nodes[node].state = RUNNING;
-  network->nodes[node].epoch++;
+  network->nodes[node].run_generation++;
   add_event (network, now + g_rand_int_range (network->random, 0, FX_TICK_INTERVAL), node, node,
              FX_DATAGRAM, NULL);
 }
@@ -221,7 +222,7 @@
 fx_stop_node (fx_network_t *network, size_t node)
 {
   network->nodes[node].state = STOPPED;
-  network->nodes[node].epoch++;
+  network->nodes[node].run_generation++;
   g_queue_clear_full (&network->nodes[node].waiting, destroy_event);
 }
 
@@ -257,14 +258,15 @@
     {
       GSequenceIter *first = g_sequence_get_begin_iter (network->events);
       event_t *event = g_sequence_get (first);
-      event_t *current;
+      event_t *due;
       if (event->due_at > end)
         break;
-      current = g_memdup2 (event, sizeof *event);
+      /* Removing an event from the sequence destroys it; the copy takes over its bytes. */
+      due = g_memdup2 (event, sizeof *event);
       event->bytes = NULL;
       g_sequence_remove (first);
-      fb_advance_clock (network->clock, current->due_at - fb_read_clock (network->clock));
-      handle_event (network, current);
+      fb_advance_clock (network->clock, due->due_at - fb_read_clock (network->clock));
+      handle_event (network, due);
     }
   fb_advance_clock (network->clock, end - fb_read_clock (network->clock));
 }
--- a/packages/node/source/node-feed.c
+++ b/packages/node/source/node-feed.c
@@ -24,22 +24,22 @@
   fk_kernel_t *kernel;
   const fn_store_t *store;
   void *store_user;
-  void *reader; /* returned by STORE */
+  void *store_reader; /* returned by STORE */
   fd_feed_t *feed;
   fk_timer_t *run_timer;
-  fh_client_t *relay; /* NULL before the first request */
+  fh_client_t *relay_client; /* NULL before the first request */
   fb_name_t relay_address;
-  bool is_awaiting_document; /* the distribution waits for a document above DOCUMENT_INDEX */
-  uint64_t document_index;
-  fb_name_t local_id; /* endpoint of the backend server on this node's host */
-  uint64_t local_incarnation;
+  bool is_awaiting_document; /* the distribution waits for a document above DOCUMENT_POSITION */
+  uint64_t document_position;
+  fb_name_t local_backend_id; /* endpoint of the backend server on this node's host */
+  uint64_t local_backend_incarnation;
   fb_counter_t *malformed;
 };
 
 static void run_feed (void *user);
 
-/* Schedules the next run of the feed for TIME; a time in the past means the next turn of the
- * loop. */
+/* Schedules the next run of the feed for TIME; a time in the past runs it at the next
+ * iteration of the event loop. */
 static void
 schedule_run (fn_feed_t *feed, fb_time_t time)
 {
@@ -49,7 +49,8 @@
   feed->run_timer = fk_create_timeout (feed->kernel, MAX (time - now, 0), run_feed, feed);
 }
 
-/* Passes the document that the distribution waits for, if there is one, on to it. */
+/* Passes the document that the distribution waits for, if there is one, on to it. Also the
+ * document_changed hook of the feed. */
 static void
 deliver_document (void *user)
 {
@@ -59,12 +60,12 @@
 
   if (!feed->is_awaiting_document || !fd_is_synced (feed->feed))
     return;
-  if (position > feed->document_index)
+  if (position > feed->document_position)
     {
       feed->is_awaiting_document = false;
       fn_finish_source_read (feed->kernel, FB_OK, position, text);
     }
-  else if (feed->document_index == 0)
+  else if (feed->document_position == 0)
     {
       feed->is_awaiting_document = false;
       fn_finish_source_read (feed->kernel, FB_NOT_FOUND, 0, (fb_bytes_t){ NULL, 0 });
@@ -81,12 +82,12 @@
 }
 
 static void
-read_document (fn_source_t *source, uint64_t index)
+read_document (fn_source_t *source, uint64_t position)
 {
   fn_feed_t *feed = (fn_feed_t *)source;
 
   feed->is_awaiting_document = true;
-  feed->document_index = index;
+  feed->document_position = position;
   schedule_run (feed, 0);
 }
 
@@ -96,17 +97,18 @@
 update_local_backend (fn_feed_t *feed, const fw_endpoint_t *endpoint)
 {
   const fw_member_t *member = &endpoint->member;
-  bool is_current = fb_equal_name (&member->id, &feed->local_id);
+  bool is_local_backend = fb_equal_name (&member->id, &feed->local_backend_id);
   fn_local_backend_t local = { 0 };
 
-  if (member->state == FW_DEAD && !is_current)
+  if (member->state == FW_DEAD && !is_local_backend)
     return;
-  if (!is_current && feed->local_id.len > 0 && member->incarnation < feed->local_incarnation)
+  if (!is_local_backend && feed->local_backend_id.len > 0
+      && member->incarnation < feed->local_backend_incarnation)
     return;
   if (member->state != FW_DEAD)
     local = (fn_local_backend_t){ member->id, endpoint->slots, member->state == FW_LEAVING };
-  feed->local_id = local.instance;
-  feed->local_incarnation = member->incarnation;
+  feed->local_backend_id = local.instance;
+  feed->local_backend_incarnation = member->incarnation;
   fn_set_local_backend (feed->kernel, &local);
 }
 
@@ -132,7 +134,7 @@
 {
   fn_feed_t *feed = user;
 
-  feed->store->read (feed->reader, read);
+  feed->store->read (feed->store_reader, read);
 }
 
 void
@@ -171,22 +173,22 @@
 }
 
 static void
-connect_relay (fn_feed_t *feed, const fw_member_t *peer)
+connect_relay (fn_feed_t *feed, const fw_member_t *relay)
 {
   fb_time_t timeout = (fb_time_t)((double)fn_get_settings (feed->kernel)->source_poll_interval
                                   * RELAY_TIMEOUT_POLL_INTERVALS);
 
-  if (feed->relay && fb_equal_name (&feed->relay_address, &peer->address))
+  if (feed->relay_client && fb_equal_name (&feed->relay_address, &relay->address))
     return;
-  fh_destroy_client (feed->relay);
-  feed->relay = fh_create_client (feed->kernel, &peer->address, peer->call_port, 1,
-                                  FEED_MESSAGE_BYTES_MAX, timeout);
-  fh_set_connect_timeout (feed->relay, RELAY_CONNECT_TIMEOUT);
-  feed->relay_address = peer->address;
+  fh_destroy_client (feed->relay_client);
+  feed->relay_client = fh_create_client (feed->kernel, &relay->address, relay->call_port, 1,
+                                         FEED_MESSAGE_BYTES_MAX, timeout);
+  fh_set_connect_timeout (feed->relay_client, RELAY_CONNECT_TIMEOUT);
+  feed->relay_address = relay->address;
 }
 
 static void
-send_request (const fw_member_t *peer, const fw_feed_message_t *message, void *user)
+send_request (const fw_member_t *relay, const fw_feed_message_t *message, void *user)
 {
   fn_feed_t *feed = user;
   size_t length;
@@ -196,8 +198,8 @@
                                    .body = { bytes, length },
                                    .repeatable = true };
 
-  connect_relay (feed, peer);
-  fh_send_request (feed->relay, &outgoing, receive_response, feed);
+  connect_relay (feed, relay);
+  fh_send_request (feed->relay_client, &outgoing, receive_response, feed);
   g_free (bytes);
 }
 
@@ -246,7 +248,7 @@
 {
   fn_feed_t *feed = data;
 
-  feed->reader = feed->store->create (kernel, feed, feed->store_user);
+  feed->store_reader = feed->store->create (kernel, feed, feed->store_user);
   schedule_run (feed, 0);
   return FB_OK;
 }
@@ -257,8 +259,8 @@
   fn_feed_t *feed = data;
 
   fk_destroy_timer (feed->run_timer);
-  fh_destroy_client (feed->relay);
-  feed->store->destroy (feed->reader);
+  fh_destroy_client (feed->relay_client);
+  feed->store->destroy (feed->store_reader);
 }
 
 static void
