--- a/packages/http/source/http-server.c
+++ b/packages/http/source/http-server.c
@@ -376,7 +376,8 @@
   request->cancel_user = user;
 }
 
-/* As h2o encodes versions; for later ones it sends a body without a length in chunks. */
+/* HTTP/1.0 in h2o's encoding of versions; with a later version h2o sends a body without a
+ * length in chunks. */
 #define HTTP_VERSION_1_0 0x100
 
 static void
--- a/packages/node/include/foxtailrun/node/adapter.h
+++ b/packages/node/include/foxtailrun/node/adapter.h
@@ -23,8 +23,8 @@
   bool allows_close_delimited; /* backend servers may end a body that has no length by closing
                                   the connection */
   bool echoes_request_id;      /* backend servers return the request id in their responses */
-  bool resolves_paths; /* backend servers resolve dot segments and escapes; a path that has any
-                          could be run as another route than the one that matched */
+  bool resolves_paths; /* backend servers resolve dot segments and escapes; a path with any of
+                          these could reach another route than the one that it matched */
 } fn_dialect_t;
 
 /* Kernel service from which configuration documents are read; its data starts with an
@@ -46,8 +46,8 @@
   /* Registers the service FN_SOURCE. USER is the field below. */
   void (*register_source) (fk_kernel_t *kernel, void *user);
   void *user;
-  /* The source lists the endpoints as well, and every node reads it: the node runs no
-   * membership protocol and fetches no documents from other nodes. */
+  /* The source lists the endpoints as well. The node runs no membership protocol and gets
+   * documents from its source only, which may follow another node as its relay. */
   bool source_lists_endpoints;
 } fn_adapter_t;
 
@@ -60,14 +60,15 @@
   /* Returns a new reader of the store for FEED; USER is that of fn_register_feed. */
   void *(*create) (fk_kernel_t *kernel, fn_feed_t *feed, void *user);
   /* Starts READ. The results go to fd_add_endpoint, fd_remove_endpoint and fd_set_document;
-   * fn_end_store_read ends the read, not before this function has returned. */
+   * fn_end_store_read ends the read; it must be called after this function has returned. */
   void (*read) (void *reader, const fd_read_t *read);
   /* Cancels the open read, if any, and frees READER. */
   void (*destroy) (void *reader);
 } fn_store_t;
 
-/* Registers the service FN_SOURCE for a store that is read through STORE, borrowed. USER is
- * passed to its create function. */
+/* Registers the service FN_SOURCE for a store that is read through STORE, borrowed. The node
+ * reads the store itself or follows a relay, a node of its zone that does. USER is passed to
+ * the create function of STORE. */
 void fn_register_feed (fk_kernel_t *kernel, const fn_store_t *store, void *user);
 
 /* Returns the feed that receives the results of reads, owned by FEED. */
--- a/packages/node/source/node-admin.c
+++ b/packages/node/source/node-admin.c
@@ -1,3 +1,4 @@
+/* Admin service: HTTP API for operators and metrics. */
 #include "node-explain.h"
 #include "node-services.h"
 #include <foxtailrun/http/server.h>
--- a/packages/node/source/node-backend-ticket.c
+++ b/packages/node/source/node-backend-ticket.c
@@ -2,7 +2,7 @@
 #include "node-backend.h"
 #include <string.h>
 
-/* Answers the calls that joined FINISHED, which has the same ticket. */
+/* Answers the calls that wait for the answer to FINISHED, which has the same ticket. */
 static void
 answer_joined (fn_backend_call_t *finished, const fw_call_t *answer)
 {
@@ -57,11 +57,11 @@
 }
 
 /* Answers a call by the STATE of its ticket; joins it to the earlier call if that one is still
- * running. RECORDED is the answer of the earlier call, REFUSAL the reason to give if the ticket
- * was refused. */
+ * running. RECORDED is the answer of the earlier call, REFUSAL_REASON the reason to give if the
+ * ticket was refused. */
 static void
 answer_from_state (fn_backend_call_t *backend_call, fr_once_state_t state, fb_bytes_t recorded,
-                   const char *refusal)
+                   const char *refusal_reason)
 {
   fw_call_t answer = { 0 };
 
@@ -71,14 +71,14 @@
       backend_call->state = FN_CALL_JOINED;
       return;
     case FR_ONCE_ANSWERED:
-      fb_add_counter (backend_call->backend->replayed, 1);
+      fb_add_counter (backend_call->backend->recorded_answers_sent, 1);
       if (fw_unpack_call (recorded, &answer) == FB_OK)
         fn_answer_backend_call (backend_call, &answer);
       else
         fn_answer_outcome (backend_call, FW_UNKNOWN, 504, "recorded answer is not readable");
       return;
     case FR_ONCE_REFUSED:
-      fn_answer_outcome (backend_call, FW_NOT_RUN, 503, refusal);
+      fn_answer_outcome (backend_call, FW_NOT_RUN, 503, refusal_reason);
       return;
     case FR_ONCE_INVALID:
       fn_answer_outcome (backend_call, FW_NOT_RUN, 422, "ticket was not issued");
--- a/packages/node/source/node-backend.c
+++ b/packages/node/source/node-backend.c
@@ -1,3 +1,5 @@
+/* Backend service: admits calls to the backend server on this node's host and runs them
+ * there. */
 #include "node-backend.h"
 #include <foxtailrun/base/invariant.h>
 #include <inttypes.h>
@@ -467,7 +469,8 @@
                                   secret, ONCE_RECORDS_MAX, ONCE_BYTES_MAX);
   backend->started = fb_find_counter (counters, "backend_calls", "end=\"started\"");
   backend->refused = fb_find_counter (counters, "backend_calls", "end=\"refused\"");
-  backend->replayed = fb_find_counter (counters, "backend_calls", "end=\"replayed\"");
+  backend->recorded_answers_sent
+      = fb_find_counter (counters, "backend_calls", "end=\"replayed\"");
   backend->unknown = fb_find_counter (counters, "backend_calls", "end=\"unknown\"");
   backend->wait_times = fb_create_histogram (counters, "backend_wait_us", "");
   backend->service_times = fb_create_histogram (counters, "backend_service_us", "");
--- a/packages/node/source/node-backend.h
+++ b/packages/node/source/node-backend.h
@@ -54,7 +54,7 @@
   bool closed;            /* all calls are refused */
   fb_counter_t *started;
   fb_counter_t *refused;
-  fb_counter_t *replayed;
+  fb_counter_t *recorded_answers_sent;
   fb_counter_t *unknown;
   fb_histogram_t *wait_times;    /* in the queue, of calls that were started */
   fb_histogram_t *service_times; /* at the backend server */
--- a/packages/node/source/node-burn.c
+++ b/packages/node/source/node-burn.c
@@ -54,15 +54,15 @@
 
 void
 fn_count_burn (fn_burn_t *burn, const fc_snapshot_t *snapshot, const fc_route_t *route,
-               const fw_call_t *answer, fb_time_t start)
+               const fw_call_t *answer, fb_time_t arrived_at)
 {
   if (is_ignored (answer))
     return;
   update_objectives (burn);
-  fs_count_call (burn->burn_counts,
-                 fb_get_name (&fc_get_service (snapshot, route->service)->name),
-                 fb_get_name (&fc_get_rank (snapshot, route->rank)->name),
-                 get_burn_cause (answer), fb_read_clock (fk_get_clock (burn->kernel)) - start);
+  fs_count_call (
+      burn->burn_counts, fb_get_name (&fc_get_service (snapshot, route->service)->name),
+      fb_get_name (&fc_get_rank (snapshot, route->rank)->name), get_burn_cause (answer),
+      fb_read_clock (fk_get_clock (burn->kernel)) - arrived_at);
 }
 
 void
--- a/packages/node/source/node-calls.c
+++ b/packages/node/source/node-calls.c
@@ -1,4 +1,4 @@
-/* Calls between the entry nodes and the nodes beside backend servers. Each is one HTTP
+/* Calls between the entry nodes and the nodes on the backend servers' hosts. Each is one HTTP
  * exchange, so that closing its connection cancels the call. */
 #include "node-services.h"
 #include <foxtailrun/http/client.h>
@@ -18,7 +18,7 @@
  * retransmits a SYN, since trying another instance is faster. */
 #define CONNECT_TIMEOUT (250 * FB_MILLISECOND)
 
-/* Limit for an exchange; the entry cancels a call earlier, at its deadline. */
+/* Limit of each wait for data; the entry cancels a call earlier, at its deadline. */
 #define IO_TIMEOUT (600 * FB_SECOND)
 
 /* Path of liveness probes. */
@@ -32,7 +32,7 @@
  * core may be busy with a configuration for half of this time. */
 #define PROBE_TIMEOUT (500 * FB_MILLISECOND)
 
-/* Least time between two probes of one node. */
+/* Minimum time between two probes of one node. */
 #define PROBE_INTERVAL (600 * FB_MILLISECOND)
 
 /* Interval of the checks for nodes to be probed. */
@@ -58,7 +58,7 @@
   fn_calls_t *calls;
   fh_client_t *client;
   fh_client_t *probe_client;
-  fb_name_t instance;         /* beside the node, as of the last call */
+  fb_name_t instance;         /* on the node's host, as of the last call */
   fb_time_t last_received_at; /* last response to a call or probe */
   fb_time_t last_probed_at;
   bool probe_in_flight;
--- a/packages/node/source/node-directory.c
+++ b/packages/node/source/node-directory.c
@@ -1,4 +1,4 @@
-/* The endpoints that calls may go to, by id. */
+/* Directory service: the endpoints that calls can be sent to, by id. */
 #include "node-services.h"
 #include <foxtailrun/base/digest.h>
 #include <foxtailrun/base/invariant.h>
--- a/packages/node/source/node-distribution.c
+++ b/packages/node/source/node-distribution.c
@@ -1,3 +1,5 @@
+/* Distribution service: connects the distribution of the configuration to the source, the
+ * control bus and the membership. */
 #include "node-services.h"
 #include <foxtailrun/transport/bus.h>
 #include <foxtailrun/wire/control.h>
--- a/packages/node/source/node-entry-attempt.c
+++ b/packages/node/source/node-entry-attempt.c
@@ -1,3 +1,4 @@
+/* Entry: sends the attempts of a call to instances and decides on retries. */
 #include "node-entry.h"
 #include <foxtailrun/call/once.h>
 
@@ -13,7 +14,7 @@
   return fb_read_clock (fk_get_clock (entry->kernel));
 }
 
-/* Returns whether NODE, an endpoint, is the one beside this node. */
+/* Returns whether NODE, an endpoint, is the one on this node's host. */
 static bool
 is_local (fn_entry_t *entry, const fw_member_t *node)
 {
@@ -57,7 +58,7 @@
   return FR_RESULT_FAILED;
 }
 
-/* Returns whether ANSWER is an error of the backend server that another one need not share. */
+/* Returns whether ANSWER is an error that may not occur on another backend server. */
 static bool
 is_server_failure (const fw_call_t *answer)
 {
--- a/packages/node/source/node-entry.c
+++ b/packages/node/source/node-entry.c
@@ -1,3 +1,4 @@
+/* Entry: accepts callers' requests and answers them. */
 #include "node-entry.h"
 #include <inttypes.h>
 #include <sodium.h>
@@ -10,8 +11,8 @@
 /* Longer timeouts of callers are reduced to this. */
 #define CALLER_TIMEOUT_MAX_MS 3600000
 
-/* Time after which a refused caller should retry: about the duration of two typical calls, in
- * which slots become free. */
+/* Time after which a refused caller should retry: about two typical calls long, so that slots
+ * have become free. */
 #define RETRY_AFTER_S "0.1"
 
 static const fb_str_t default_customer = { "default", 7 };
@@ -85,11 +86,12 @@
   respond (entry, request, &answer, request_id);
 }
 
-/* One of this number of calls that were answered in time is logged. */
+/* One in this many calls that were answered in time with a status below 500 is logged. */
 #define LOG_SAMPLE_INTERVAL 64
 
-/* Returns whether a call is logged: always when it was not answered in time, otherwise sampled
- * by the hash of its request id, so that all nodes on its path make the same choice. */
+/* Returns whether a call is logged: always when it was not answered in time or has a status of
+ * 500 or more, otherwise sampled by the hash of its request id, so that all nodes on its path
+ * make the same choice. */
 static bool
 is_logged (const fn_entry_call_t *call, const fw_call_t *answer)
 {
@@ -131,7 +133,7 @@
   fn_entry_t *entry = call->entry;
   fw_call_t final_answer = *answer;
 
-  /* That the last attempt was not run does not mean that earlier ones were not. */
+  /* An earlier attempt may have run, even though the last one did not. */
   if (final_answer.outcome == FW_NOT_RUN && call->may_have_run)
     {
       final_answer.outcome = FW_UNKNOWN;
@@ -163,11 +165,11 @@
 expire_call (void *user)
 {
   fn_entry_call_t *call = user;
-  bool is_open = call->attempt_id != 0;
+  bool has_open_attempt = call->attempt_id != 0;
 
   fn_abandon_attempt (call);
-  fn_finish_with_outcome (call, is_open ? FW_UNKNOWN : FW_NOT_RUN, is_open ? 504 : 503,
-                          "deadline passed");
+  fn_finish_with_outcome (call, has_open_attempt ? FW_UNKNOWN : FW_NOT_RUN,
+                          has_open_attempt ? 504 : 503, "deadline passed");
 }
 
 static void
@@ -211,22 +213,22 @@
 /* Window over which the longest timeout of a route's callers is recorded. */
 #define TIMEOUT_WINDOW (10 * FB_SECOND)
 
-/* The timeouts of first attempts by callers of a route differ by up to this fraction. */
-#define FIRST_TIMEOUT_SPREAD 0.15
+/* The timeouts of callers' first requests on a route differ by up to this fraction. */
+#define FIRST_REQUEST_TIMEOUT_SPREAD 0.15
 
-/* A timeout shorter by this than any first timeout of the route belongs to a retry: the caller
- * spent the difference on earlier attempts. */
+/* A timeout that is shorter by this than the shortest one expected of a caller's first request
+ * belongs to a retry: the caller spent the difference on earlier requests. */
 #define SPENT_TIME_MIN (20 * FB_MILLISECOND)
 
-/* Returns the least time in ns that a caller of ROUTE with CALLER_TIMEOUT has spent on earlier
- * attempts; 0 for a first attempt. */
+/* Estimates the time in ns that a caller of ROUTE with CALLER_TIMEOUT has at least spent on
+ * earlier requests; 0 for its first request. */
 static fb_time_t
 estimate_spent_time (fn_entry_t *entry, const fc_route_t *route, fb_time_t caller_timeout)
 {
   fn_route_timeout_t *route_timeout
       = g_hash_table_lookup (entry->route_timeouts, route->name.data);
   fb_time_t now = fb_read_clock (fk_get_clock (entry->kernel));
-  fb_time_t first_timeout_min;
+  fb_time_t first_request_timeout_min;
 
   if (!route_timeout)
     {
@@ -241,15 +243,15 @@
       route_timeout->window_end = now + TIMEOUT_WINDOW;
     }
   route_timeout->current_max = MAX (route_timeout->current_max, caller_timeout);
-  first_timeout_min
+  first_request_timeout_min
       = (fb_time_t)((double)MAX (route_timeout->current_max, route_timeout->previous_max)
-                    * (1 - FIRST_TIMEOUT_SPREAD));
-  return first_timeout_min - caller_timeout >= SPENT_TIME_MIN
-             ? first_timeout_min - caller_timeout
+                    * (1 - FIRST_REQUEST_TIMEOUT_SPREAD));
+  return first_request_timeout_min - caller_timeout >= SPENT_TIME_MIN
+             ? first_request_timeout_min - caller_timeout
              : 0;
 }
 
-/* Sets the time until which an answer is in time, counted from the caller's first attempt. */
+/* Sets the time until which an answer is in time, counted from the caller's first request. */
 static void
 set_target_time (fn_entry_call_t *call, fb_time_t caller_timeout)
 {
@@ -368,8 +370,8 @@
 {
   fn_entry_t *entry = user;
   fn_distribution_t *distribution = fk_find_service (entry->kernel, FN_DISTRIBUTION);
-  /* Called before the snapshot is read: it detects a pause of the process, which may change
-   * the state of the distribution. */
+  /* fn_is_ready detects a pause of the process and may start a new join, so it comes before
+   * the snapshot is read. */
   bool ready = fn_is_ready (distribution);
   const fn_dialect_t *dialect = fn_get_adapter (entry->kernel)->dialect;
   fc_snapshot_t *snapshot = fn_get_snapshot (distribution);
@@ -407,9 +409,9 @@
   service = fb_get_name (&fc_get_service (snapshot, service_index)->name);
   customer = read_customer (entry, request);
   /* The throttle protects other customers from one that overloads the service. Without
-   * customers it is not used, since the nodes beside the backend servers refuse more precisely;
-   * nor with a ticket: a refusal here would leave the outcome unknown, which the node that
-   * issued the ticket can tell. */
+   * customers it is not used, since the nodes on the backend servers' hosts refuse more
+   * precisely. Calls with a ticket are not throttled: only the node that issued the ticket can
+   * say whether the call ran, so a refusal here would have to report unknown. */
   if (dialect->customer.len > 0
       && find_request_header (request, FB_LITERAL ("foxtailrun-ticket")).len == 0
       && !fr_admit_customer (entry->throttle, service, route->rank, customer))
@@ -437,7 +439,7 @@
 #define SHARED_RETRY_FRACTION 0.5
 
 static void
-update_instance (const fw_member_t *member, void *user)
+handle_endpoint_change (const fw_member_t *member, void *user)
 {
   fn_entry_t *entry = user;
   const fc_settings_t *settings = fn_get_settings (entry->kernel);
@@ -462,7 +464,7 @@
   if (fn_get_adapter (kernel)->source_lists_endpoints)
     {
       self.service = (fb_name_t){ 0 };
-      update_instance (&self, entry);
+      handle_endpoint_change (&self, entry);
     }
   else
     fn_update_endpoint (kernel, &self);
@@ -495,7 +497,7 @@
 }
 
 static void
-find_entry_counters (fn_entry_t *entry, fb_counters_t *counters)
+create_entry_metrics (fn_entry_t *entry, fb_counters_t *counters)
 {
   static const fw_outcome_t outcomes[] = { FW_ANSWERED, FW_NOT_RUN, FW_UNKNOWN, FW_FAILED };
 
@@ -529,8 +531,8 @@
   entry->route_timeouts = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   entry->attempts = g_hash_table_new (g_int64_hash, g_int64_equal);
   entry->next_id = (uint64_t)randombytes_random () << 24;
-  find_entry_counters (entry, fk_get_counters (kernel));
-  fn_watch_endpoints (fk_find_service (kernel, FN_DIRECTORY), update_instance, entry);
+  create_entry_metrics (entry, fk_get_counters (kernel));
+  fn_watch_endpoints (fk_find_service (kernel, FN_DIRECTORY), handle_endpoint_change, entry);
   fk_register_service (kernel, FN_ENTRY, &vtable, entry);
 }
 
@@ -550,9 +552,9 @@
 }
 
 void
-fn_avoid_instance (fn_entry_t *entry, const fb_name_t *instance, fb_time_t time)
+fn_avoid_instance (fn_entry_t *entry, const fb_name_t *instance, fb_time_t until)
 {
-  fr_avoid_until (entry->picker, instance, time);
+  fr_avoid_until (entry->picker, instance, until);
 }
 
 size_t
--- a/packages/node/source/node-entry.h
+++ b/packages/node/source/node-entry.h
@@ -63,7 +63,8 @@
   fb_time_t deadline;
   fb_time_t latency_target; /* of the route, or of its rank */
   fb_time_t target_time;    /* until which an answer is in time */
-  bool is_caller_retry;     /* the caller's request was refused before and is sent again */
+  bool is_caller_retry;     /* the caller's timeout suggests that it spent time on earlier
+                               requests */
   fk_timer_t *timer;
   uint32_t service_index; /* chosen by the splitter */
   uint32_t attempt_count;
@@ -75,7 +76,7 @@
   fb_name_t tried_instances[FN_ATTEMPTS_MAX];
   uint64_t attempt_id; /* open attempt, 0 when none */
   fb_time_t attempt_started_at;
-  uint64_t local_handle; /* of the open attempt at the backend server beside this node */
+  uint64_t local_handle; /* of the open attempt at the backend server on this node's host */
   bool is_local;
 } fn_entry_call_t;
 
--- a/packages/node/source/node-membership.c
+++ b/packages/node/source/node-membership.c
@@ -1,3 +1,5 @@
+/* Membership service: gossip over UDP, and the reaction to a host list that marks this host as
+ * leaving. */
 #include "node-services.h"
 #include <foxtailrun/base/invariant.h>
 #include <foxtailrun/node/node.h>
--- a/packages/node/source/node-services.h
+++ b/packages/node/source/node-services.h
@@ -182,8 +182,8 @@
  * unknown. */
 void fn_fail_unanswered (fn_entry_t *entry, uint64_t id, const char *reason);
 
-/* Sends new attempts to other instances than INSTANCE until TIME, as long as there are any. */
-void fn_avoid_instance (fn_entry_t *entry, const fb_name_t *instance, fb_time_t time);
+/* Sends new attempts to instances other than INSTANCE until UNTIL, if there are any. */
+void fn_avoid_instance (fn_entry_t *entry, const fb_name_t *instance, fb_time_t until);
 
 /* Returns the number of instances of SERVICE that calls can be sent to, ejected ones included.
  */
@@ -194,9 +194,10 @@
 
 void fn_register_burn (fk_kernel_t *kernel);
 
-/* Counts a call on ROUTE of SNAPSHOT that arrived at START and is now answered with ANSWER. */
+/* Counts a call on ROUTE of SNAPSHOT that arrived at ARRIVED_AT and is now answered with
+ * ANSWER. */
 void fn_count_burn (fn_burn_t *burn, const fc_snapshot_t *snapshot, const fc_route_t *route,
-                    const fw_call_t *answer, fb_time_t start);
+                    const fw_call_t *answer, fb_time_t arrived_at);
 
 /* Counts a call on ROUTE of SNAPSHOT that is refused on arrival. Without a route or snapshot
  * (NULL) no objective applies and nothing is counted. */
--- a/packages/node/source/node-source.c
+++ b/packages/node/source/node-source.c
@@ -1,3 +1,4 @@
+/* Built-in source: reads the configuration and the host list by Consul's HTTP API. */
 #include "node-services.h"
 #include <foxtailrun/http/client.h>
 #include <glib.h>
@@ -8,8 +9,8 @@
 #define DOCUMENT_PATH "/v1/kv/foxtailrun/config?raw=true"
 #define HOST_LIST_PATH "/v1/health/service/foxtailrun?passing=false"
 
-/* Limit of each wait for data from the source: the wait of a watch, the sixteenth of it that
- * Consul may add, and time to respond. */
+/* Limit of each wait for data from the source: the duration of a watch and 1 s more, for the
+ * sixteenth that Consul may add to it and for the response. */
 #define IO_TIMEOUT (FD_WATCH_WAIT + 1 * FB_SECOND)
 
 /* Interval at which a reader starts a watch of the host list if none is open. */
--- a/packages/node/source/node.c
+++ b/packages/node/source/node.c
@@ -1,3 +1,4 @@
+/* Settings service, and registration of all services of a node. */
 #include "node-services.h"
 #include <foxtailrun/node/node.h>
 #include <glib.h>
