--- a/bench/bench-call-cost.c
+++ b/bench/bench-call-cost.c
@@ -102,8 +102,8 @@
     {
       fb_name_t picked;
 
-      if (fr_pick_ranked (picker, service, 0, service, NULL, 0, &picked))
-        fr_report_ranked (picker, &picked, 0, FR_RESULT_ANSWERED, FB_MILLISECOND, 500);
+      if (fr_pick_for_rank (picker, service, 0, service, NULL, 0, &picked))
+        fr_report_result_for_rank (picker, &picked, 0, FR_RESULT_ANSWERED, FB_MILLISECOND, 500);
     }
   print_cost ("picker: pick and report, 16 of 3,000", clock, start, ROUNDS);
   fr_destroy_picker (picker);
@@ -137,7 +137,7 @@
 
   for (int i = 0; i < ROUNDS; i++)
     {
-      char text[FR_TICKET_MAX];
+      char text[FR_TICKET_SIZE];
       fr_ticket_t ticket;
       fb_bytes_t response;
 
--- a/bench/sim-service.c
+++ b/bench/sim-service.c
@@ -157,8 +157,8 @@
       && !fr_admit_customer (entry->throttle, service_name, call->rank,
                              fb_get_name (&call->customer_name)))
     return false;
-  if (!fr_pick_ranked (entry->picker, service_name, call->rank, FB_LITERAL (""),
-                       call->attempted, call->attempt_count, &picked))
+  if (!fr_pick_for_rank (entry->picker, service_name, call->rank, FB_LITERAL (""),
+                         call->attempted, call->attempt_count, &picked))
     return false;
   call->attempted[call->attempt_count++] = picked;
   for (uint32_t i = 0; i < sim->deployment->instances; i++)
@@ -219,8 +219,8 @@
   fb_time_t now = fb_read_clock (sim->clock);
   fw_outcome_t outcome = FW_ANSWERED;
 
-  fr_report_ranked (entry->picker, &sim->hosts[call->target].member.id, call->rank,
-                    call->result, now - call->sent, call->load);
+  fr_report_result_for_rank (entry->picker, &sim->hosts[call->target].member.id, call->rank,
+                             call->result, now - call->sent, call->load);
   if (sim->policy->throttle)
     fr_report_customer (entry->throttle, service_name, call->rank,
                         fb_get_name (&call->customer_name), call->result != FR_RESULT_REFUSED);
--- a/packages/call/include/foxtailrun/call/admission.h
+++ b/packages/call/include/foxtailrun/call/admission.h
@@ -10,10 +10,10 @@
 /* Why a call was refused without being started. */
 typedef enum
 {
-  FR_REFUSED_FULL,     /* the rank's queue is full or the latency target cannot be met */
-  FR_REFUSED_LATE,     /* the deadline cannot be met or has passed */
-  FR_REFUSED_DRAINING, /* the node is leaving */
-  FR_REFUSED_CANCELLED /* the caller cancelled it before it started */
+  FR_REFUSED_QUEUE_FULL, /* the rank's queue is full or the latency target cannot be met */
+  FR_REFUSED_DEADLINE,   /* the deadline cannot be met or has passed */
+  FR_REFUSED_DRAINING,   /* the node is leaving */
+  FR_REFUSED_CANCELLED   /* the caller cancelled it before it started */
 } fr_refusal_t;
 
 /* How free slots are assigned. Nodes use FR_POLICY_SHARES; the others are baselines for
@@ -29,9 +29,9 @@
 
 typedef struct
 {
-  double share;             /* guaranteed fraction of the slots, 0 to 1 */
-  fb_time_t latency_target; /* ns */
-  uint32_t queue_max;       /* limit of waiting calls; 0 for the default */
+  double share;              /* guaranteed fraction of the slots, 0 to 1 */
+  fb_time_t latency_target;  /* ns */
+  uint32_t queue_length_max; /* limit of waiting calls; 0 for the default */
 } fr_rank_options_t;
 
 typedef struct
@@ -76,12 +76,12 @@
                             latency target of the rank */
   bool is_caller_retry;  /* the caller is assumed to have been refused before; queued before the
                             other calls of its customer */
-} fr_call_times_t;
+} fr_call_options_t;
 
 /* Like fr_offer_call, for a call with its own target time or a caller retry. */
-void fr_offer_call_with_times (fr_admission_t *admission, uint64_t id, void *call,
-                               uint32_t rank, fb_str_t customer, double weight,
-                               const fr_call_times_t *times);
+void fr_offer_call_with_options (fr_admission_t *admission, uint64_t id, void *call,
+                                 uint32_t rank, fb_str_t customer, double weight,
+                                 const fr_call_options_t *times);
 
 /* Ends a started call and frees its slot. */
 void fr_finish_call (fr_admission_t *admission, uint64_t id);
--- a/packages/call/include/foxtailrun/call/once.h
+++ b/packages/call/include/foxtailrun/call/once.h
@@ -7,7 +7,7 @@
 #include <foxtailrun/base/string.h>
 
 /* Size of a buffer for a ticket as text. */
-#define FR_TICKET_MAX 128
+#define FR_TICKET_SIZE 128
 
 typedef struct
 {
@@ -44,7 +44,7 @@
 fb_status_t fr_parse_ticket (fb_str_t text, fr_ticket_t *ticket);
 
 /* Writes a new ticket of this process. */
-void fr_issue_ticket (fr_once_t *once, char text[FR_TICKET_MAX]);
+void fr_issue_ticket (fr_once_t *once, char text[FR_TICKET_SIZE]);
 
 /* Begins the first use of TICKET or returns the state of an earlier one. With FR_ONCE_ANSWERED,
  * *ANSWER borrows the recorded bytes until the next call. */
--- a/packages/call/include/foxtailrun/call/picker.h
+++ b/packages/call/include/foxtailrun/call/picker.h
@@ -56,15 +56,15 @@
 /* Like fr_pick_backend, for a call of RANK, 0 being the most urgent; the functions above stand
  * for rank 0. Calls in flight and latencies are recorded by rank, because the calls of a less
  * urgent rank waiting at an instance do not indicate the wait of a more urgent one. */
-bool fr_pick_ranked (fr_picker_t *picker, fb_str_t service, uint32_t rank, fb_str_t key,
-                     const fb_name_t *excluded, size_t excluded_count, fb_name_t *picked);
+bool fr_pick_for_rank (fr_picker_t *picker, fb_str_t service, uint32_t rank, fb_str_t key,
+                       const fb_name_t *excluded, size_t excluded_count, fb_name_t *picked);
 
-/* Like fr_pick_ranked, for a call with LATENCY_TARGET in ns; an instance of another zone is
+/* Like fr_pick_for_rank, for a call with LATENCY_TARGET in ns; an instance of another zone is
  * picked only when it saves a fraction of the target. Also returns false when EXCLUDED is not
  * empty and all other instances are in other zones and would miss the target. */
-bool fr_pick_target (fr_picker_t *picker, fb_str_t service, uint32_t rank,
-                     fb_time_t latency_target, const fb_name_t *excluded, size_t excluded_count,
-                     fb_name_t *picked);
+bool fr_pick_for_latency_target (fr_picker_t *picker, fb_str_t service, uint32_t rank,
+                                 fb_time_t latency_target, const fb_name_t *excluded,
+                                 size_t excluded_count, fb_name_t *picked);
 
 /* Records the times in ns that an answer reported: SERVICE_TIME at the backend server, 0 when
  * the call did not run there, and EXPECTED_WAIT of the next call of RANK. */
@@ -72,16 +72,16 @@
                       fb_time_t service_time, fb_time_t expected_wait);
 
 /* Like fr_begin_attempt and fr_report_result, for a call of RANK. */
-void fr_begin_ranked (fr_picker_t *picker, const fb_name_t *instance, uint32_t rank);
-void fr_report_ranked (fr_picker_t *picker, const fb_name_t *instance, uint32_t rank,
-                       fr_result_t result, fb_time_t latency, uint32_t load);
+void fr_begin_attempt_for_rank (fr_picker_t *picker, const fb_name_t *instance, uint32_t rank);
+void fr_report_result_for_rank (fr_picker_t *picker, const fb_name_t *instance, uint32_t rank,
+                                fr_result_t result, fb_time_t latency, uint32_t load);
 
 /* Ejects INSTANCE at least until UNTIL, for example when its node does not answer. */
-void fr_avoid_until (fr_picker_t *picker, const fb_name_t *instance, fb_time_t until);
+void fr_eject_until (fr_picker_t *picker, const fb_name_t *instance, fb_time_t until);
 
 /* Return the number of instances of SERVICE in the subset that are not ejected, and that are.
  */
-size_t fr_count_instances (const fr_picker_t *picker, fb_str_t service);
+size_t fr_count_available_instances (const fr_picker_t *picker, fb_str_t service);
 size_t fr_count_ejected (const fr_picker_t *picker, fb_str_t service);
 
 /* State of an instance in the picker; borrowed during the visit. */
@@ -95,14 +95,14 @@
   uint32_t in_flight; /* calls of this node, all ranks */
   uint32_t load;      /* per 1,000 slots, as last reported */
   double score;       /* expected cost of another call; lower is better */
-} fr_preference_t;
+} fr_instance_view_t;
 
-typedef void (*fr_preference_fn_t) (const fr_preference_t *preference, void *user);
+typedef void (*fr_instance_visitor_t) (const fr_instance_view_t *preference, void *user);
 
 /* Calls VISIT for each instance of SERVICE, the candidates for a call of RANK first, then the
  * rest of the subset, then all others, each by ascending score. Picks nothing and changes no
  * count. */
 void fr_visit_instances (const fr_picker_t *picker, fb_str_t service, uint32_t rank,
-                         fr_preference_fn_t visit, void *user);
+                         fr_instance_visitor_t visit, void *user);
 
 #endif
--- a/packages/call/include/foxtailrun/call/retry.h
+++ b/packages/call/include/foxtailrun/call/retry.h
@@ -49,11 +49,10 @@
 void fr_destroy_throttle (fr_throttle_t *throttle);
 
 /* Returns whether a call may be sent; otherwise it is to be refused locally as not run. */
-bool fr_admit_upstream (fr_throttle_t *throttle, fb_str_t service, uint32_t rank);
+bool fr_admit_call (fr_throttle_t *throttle, fb_str_t service, uint32_t rank);
 
 /* Counts a sent call that ended; ACCEPTED is false when admission refused it. */
-void fr_report_upstream (fr_throttle_t *throttle, fb_str_t service, uint32_t rank,
-                         bool accepted);
+void fr_report_call (fr_throttle_t *throttle, fb_str_t service, uint32_t rank, bool accepted);
 
 /* Like the functions above, which stand for a customer with an empty name. Each customer is
  * throttled by the outcomes of its own calls, so that a flood of one does not cause refusals of
--- a/packages/call/source/admission.c
+++ b/packages/call/source/admission.c
@@ -7,9 +7,9 @@
 {
   switch (refusal)
     {
-    case FR_REFUSED_FULL:
+    case FR_REFUSED_QUEUE_FULL:
       return "queue-full";
-    case FR_REFUSED_LATE:
+    case FR_REFUSED_DEADLINE:
       return "deadline";
     case FR_REFUSED_DRAINING:
       return "draining";
@@ -128,7 +128,7 @@
   entry->started_at = now;
   admission->waiting--;
   admission->started++;
-  add_event (admission, entry->call, true, FR_REFUSED_FULL);
+  add_event (admission, entry->call, true, FR_REFUSED_QUEUE_FULL);
 }
 
 /* Assigns free slots to waiting calls. */
@@ -143,9 +143,9 @@
       entry_t *entry = fr_peek_entry (rank);
 
       if (misses_deadline (admission, entry, now))
-        refuse_entry (admission, entry, FR_REFUSED_LATE);
+        refuse_entry (admission, entry, FR_REFUSED_DEADLINE);
       else if (should_skip_entry (admission, entry, now))
-        refuse_entry (admission, entry, FR_REFUSED_FULL);
+        refuse_entry (admission, entry, FR_REFUSED_QUEUE_FULL);
       else
         start_entry (admission, entry, now);
     }
@@ -165,8 +165,8 @@
         g_ptr_array_add (admission->ranks, fr_create_rank ((uint32_t)i, &ranks[i]));
       rank = g_ptr_array_index (admission->ranks, i);
       rank->options = ranks[i];
-      if (rank->options.queue_max == 0)
-        rank->options.queue_max = QUEUE_MAX_DEFAULT;
+      if (rank->options.queue_length_max == 0)
+        rank->options.queue_length_max = QUEUE_MAX_DEFAULT;
     }
 }
 
@@ -188,7 +188,7 @@
   admission->entries = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   g_queue_init (&admission->events);
   admission->count_started = fb_find_counter (counters, "admission_started_total", "");
-  for (int i = FR_REFUSED_FULL; i <= FR_REFUSED_CANCELLED; i++)
+  for (int i = FR_REFUSED_QUEUE_FULL; i <= FR_REFUSED_CANCELLED; i++)
     {
       char *labels = g_strdup_printf ("reason=\"%s\"", fr_describe_refusal ((fr_refusal_t)i));
 
@@ -255,12 +255,12 @@
 
   if (admission->policy == FR_POLICY_ADAPTIVE)
     return (double)(admission->started + admission->waiting) < admission->concurrency_limit;
-  if (rank->waiting < rank->options.queue_max)
+  if (rank->waiting < rank->options.queue_length_max)
     return true;
   evicted = fr_find_entry_to_evict (rank, flow);
   if (evicted == NULL)
     return false;
-  refuse_entry (admission, evicted, FR_REFUSED_FULL);
+  refuse_entry (admission, evicted, FR_REFUSED_QUEUE_FULL);
   return true;
 }
 
@@ -268,15 +268,15 @@
  * accepts one regardless of its average service time, because an average that is too long would
  * otherwise never be corrected. */
 static bool
-can_estimate_wait (const rank_t *rank, const fr_call_times_t *times)
+can_estimate_wait (const rank_t *rank, const fr_call_options_t *times)
 {
   return rank->started > 0 || (times->target_time > 0 && rank->waiting > 0);
 }
 
 /* Decides whether a new call of FLOW is refused, as REFUSAL. */
 static bool
-should_refuse_call (fr_admission_t *admission, const flow_t *flow, const fr_call_times_t *times,
-                    fr_refusal_t *refusal)
+should_refuse_call (fr_admission_t *admission, const flow_t *flow,
+                    const fr_call_options_t *times, fr_refusal_t *refusal)
 {
   const rank_t *rank = flow->rank;
   fb_time_t now = fb_read_clock (admission->clock);
@@ -285,7 +285,7 @@
   *refusal = FR_REFUSED_DRAINING;
   if (admission->draining)
     return true;
-  *refusal = FR_REFUSED_LATE;
+  *refusal = FR_REFUSED_DEADLINE;
   if (deadline <= now)
     return true;
   if (admission->policy == FR_POLICY_SHARES && can_estimate_wait (rank, times))
@@ -295,7 +295,7 @@
 
       if (latency > (double)(deadline - now))
         return true;
-      *refusal = FR_REFUSED_FULL;
+      *refusal = FR_REFUSED_QUEUE_FULL;
       if (times->target_time > 0)
         return wait > 0 && misses_target_time (rank, now + (fb_time_t)wait, times->target_time)
                && !fr_is_below_share (admission, rank);
@@ -305,7 +305,7 @@
           && admission->waiting > 0 && !fr_is_below_share (admission, rank))
         return true;
     }
-  *refusal = FR_REFUSED_FULL;
+  *refusal = FR_REFUSED_QUEUE_FULL;
   return !ensure_queue_space (admission, flow);
 }
 
@@ -313,14 +313,14 @@
 fr_offer_call (fr_admission_t *admission, uint64_t id, void *call, uint32_t rank,
                fb_str_t customer, double weight, fb_time_t deadline)
 {
-  fr_call_times_t times = { .deadline = deadline };
+  fr_call_options_t times = { .deadline = deadline };
 
-  fr_offer_call_with_times (admission, id, call, rank, customer, weight, &times);
+  fr_offer_call_with_options (admission, id, call, rank, customer, weight, &times);
 }
 
 void
-fr_offer_call_with_times (fr_admission_t *admission, uint64_t id, void *call, uint32_t rank,
-                          fb_str_t customer, double weight, const fr_call_times_t *times)
+fr_offer_call_with_options (fr_admission_t *admission, uint64_t id, void *call, uint32_t rank,
+                            fb_str_t customer, double weight, const fr_call_options_t *times)
 {
   size_t index = MIN (rank, admission->ranks->len - 1);
   /* The baseline policies do not distinguish customers. */
@@ -414,9 +414,9 @@
         g_ptr_array_add (past_target, entry);
     }
   for (size_t i = 0; i < past_deadline->len; i++)
-    refuse_entry (admission, g_ptr_array_index (past_deadline, i), FR_REFUSED_LATE);
+    refuse_entry (admission, g_ptr_array_index (past_deadline, i), FR_REFUSED_DEADLINE);
   for (size_t i = 0; i < past_target->len; i++)
-    refuse_entry (admission, g_ptr_array_index (past_target, i), FR_REFUSED_FULL);
+    refuse_entry (admission, g_ptr_array_index (past_target, i), FR_REFUSED_QUEUE_FULL);
   g_ptr_array_free (past_deadline, TRUE);
   g_ptr_array_free (past_target, TRUE);
   for (size_t i = 0; i < admission->ranks->len; i++)
--- a/packages/call/source/once-record.c
+++ b/packages/call/source/once-record.c
@@ -98,11 +98,11 @@
 }
 
 void
-fr_issue_ticket (fr_once_t *once, char text[FR_TICKET_MAX])
+fr_issue_ticket (fr_once_t *once, char text[FR_TICKET_SIZE])
 {
   uint64_t serial = once->next_serial++;
 
-  g_snprintf (text, FR_TICKET_MAX, "ftr1-%s-%016" PRIx64 "-%" PRIx64 "-%016" PRIx64,
+  g_snprintf (text, FR_TICKET_SIZE, "ftr1-%s-%016" PRIx64 "-%" PRIx64 "-%016" PRIx64,
               once->node.data, once->start_id, serial, compute_nonce (once, serial));
 }
 
--- a/packages/call/source/once-ticket.c
+++ b/packages/call/source/once-ticket.c
@@ -39,7 +39,7 @@
   const fb_str_t prefix = FB_LITERAL ("ftr1-");
 
   memset (ticket, 0, sizeof *ticket);
-  if (text.len >= FR_TICKET_MAX || !fb_has_prefix (text, prefix))
+  if (text.len >= FR_TICKET_SIZE || !fb_has_prefix (text, prefix))
     return FB_INVALID;
   text.data += prefix.len;
   text.len -= prefix.len;
--- a/packages/call/source/retry-throttle.c
+++ b/packages/call/source/retry-throttle.c
@@ -127,13 +127,13 @@
 }
 
 bool
-fr_admit_upstream (fr_throttle_t *throttle, fb_str_t service, uint32_t rank)
+fr_admit_call (fr_throttle_t *throttle, fb_str_t service, uint32_t rank)
 {
   return fr_admit_customer (throttle, service, rank, FB_LITERAL (""));
 }
 
 void
-fr_report_upstream (fr_throttle_t *throttle, fb_str_t service, uint32_t rank, bool accepted)
+fr_report_call (fr_throttle_t *throttle, fb_str_t service, uint32_t rank, bool accepted)
 {
   fr_report_customer (throttle, service, rank, FB_LITERAL (""), accepted);
 }
--- a/packages/call/source/route-pick.c
+++ b/packages/call/source/route-pick.c
@@ -311,17 +311,17 @@
 }
 
 bool
-fr_pick_target (fr_picker_t *picker, fb_str_t service_name, uint32_t rank,
-                fb_time_t latency_target, const fb_name_t *excluded, size_t excluded_count,
-                fb_name_t *picked)
+fr_pick_for_latency_target (fr_picker_t *picker, fb_str_t service_name, uint32_t rank,
+                            fb_time_t latency_target, const fb_name_t *excluded,
+                            size_t excluded_count, fb_name_t *picked)
 {
   service_t *service = fr_find_service (picker, service_name);
   candidates_t candidates;
   instance_t *instance;
 
   if (picker->policy != FR_PICK_LOCALITY)
-    return fr_pick_ranked (picker, service_name, rank, FB_LITERAL (""), excluded,
-                           excluded_count, picked);
+    return fr_pick_for_rank (picker, service_name, rank, FB_LITERAL (""), excluded,
+                             excluded_count, picked);
   if (service == NULL)
     return false;
   collect_locality_candidates (picker, service, excluded, excluded_count, &candidates);
@@ -337,8 +337,8 @@
 }
 
 bool
-fr_pick_ranked (fr_picker_t *picker, fb_str_t service_name, uint32_t rank, fb_str_t key,
-                const fb_name_t *excluded, size_t excluded_count, fb_name_t *picked)
+fr_pick_for_rank (fr_picker_t *picker, fb_str_t service_name, uint32_t rank, fb_str_t key,
+                  const fb_name_t *excluded, size_t excluded_count, fb_name_t *picked)
 {
   service_t *service = fr_find_service (picker, service_name);
   candidates_t candidates;
@@ -363,11 +363,11 @@
 fr_pick_backend (fr_picker_t *picker, fb_str_t service, fb_str_t key, const fb_name_t *excluded,
                  size_t excluded_count, fb_name_t *picked)
 {
-  return fr_pick_ranked (picker, service, 0, key, excluded, excluded_count, picked);
+  return fr_pick_for_rank (picker, service, 0, key, excluded, excluded_count, picked);
 }
 
 void
-fr_begin_ranked (fr_picker_t *picker, const fb_name_t *name, uint32_t rank)
+fr_begin_attempt_for_rank (fr_picker_t *picker, const fb_name_t *name, uint32_t rank)
 {
   instance_t *instance = g_hash_table_lookup (picker->instances, name->data);
 
@@ -378,12 +378,12 @@
 void
 fr_begin_attempt (fr_picker_t *picker, const fb_name_t *name)
 {
-  fr_begin_ranked (picker, name, 0);
+  fr_begin_attempt_for_rank (picker, name, 0);
 }
 
 void
-fr_report_ranked (fr_picker_t *picker, const fb_name_t *name, uint32_t rank, fr_result_t result,
-                  fb_time_t latency, uint32_t load)
+fr_report_result_for_rank (fr_picker_t *picker, const fb_name_t *name, uint32_t rank,
+                           fr_result_t result, fb_time_t latency, uint32_t load)
 {
   instance_t *instance = g_hash_table_lookup (picker->instances, name->data);
   fb_time_t now = fb_read_clock (picker->clock);
@@ -419,11 +419,11 @@
 fr_report_result (fr_picker_t *picker, const fb_name_t *name, fr_result_t result,
                   fb_time_t latency, uint32_t load)
 {
-  fr_report_ranked (picker, name, 0, result, latency, load);
+  fr_report_result_for_rank (picker, name, 0, result, latency, load);
 }
 
 void
-fr_avoid_until (fr_picker_t *picker, const fb_name_t *name, fb_time_t until)
+fr_eject_until (fr_picker_t *picker, const fb_name_t *name, fb_time_t until)
 {
   instance_t *instance = g_hash_table_lookup (picker->instances, name->data);
 
@@ -432,7 +432,7 @@
 }
 
 size_t
-fr_count_instances (const fr_picker_t *picker, fb_str_t service_name)
+fr_count_available_instances (const fr_picker_t *picker, fb_str_t service_name)
 {
   const service_t *service = fr_find_service (picker, service_name);
 
--- a/packages/call/source/route-visit.c
+++ b/packages/call/source/route-visit.c
@@ -3,11 +3,11 @@
 
 static void
 describe_instance (const fr_picker_t *picker, const instance_t *instance, uint32_t rank,
-                   fb_time_t now, fr_preference_t *preference)
+                   fb_time_t now, fr_instance_view_t *preference)
 {
   static const char *const distances[DISTANCE_COUNT] = { "zone", "region", "other" };
 
-  *preference = (fr_preference_t){
+  *preference = (fr_instance_view_t){
     .member = &instance->member,
     .distance = distances[fr_get_distance (picker, instance)],
     .in_subset = instance->in_subset,
@@ -21,8 +21,8 @@
 static int
 compare_preferences (const void *a, const void *b)
 {
-  const fr_preference_t *left = a;
-  const fr_preference_t *right = b;
+  const fr_instance_view_t *left = a;
+  const fr_instance_view_t *right = b;
 
   if (left->candidate != right->candidate)
     return left->candidate ? -1 : 1;
@@ -35,7 +35,7 @@
 
 void
 fr_visit_instances (const fr_picker_t *picker, fb_str_t name, uint32_t rank,
-                    fr_preference_fn_t visit, void *user)
+                    fr_instance_visitor_t visit, void *user)
 {
   service_t *service = fr_find_service (picker, name);
   fb_time_t now = fb_read_clock (picker->clock);
@@ -45,11 +45,11 @@
   if (service == NULL)
     return;
   fr_find_candidates (picker, service, NULL, 0, &candidates);
-  list = g_array_new (FALSE, TRUE, sizeof (fr_preference_t));
+  list = g_array_new (FALSE, TRUE, sizeof (fr_instance_view_t));
   for (size_t i = 0; i < service->instances->len; i++)
     {
       const instance_t *instance = g_ptr_array_index (service->instances, i);
-      fr_preference_t preference;
+      fr_instance_view_t preference;
 
       describe_instance (picker, instance, MIN (rank, FC_RANKS_MAX - 1), now, &preference);
       for (size_t j = 0; j < candidates.count; j++)
@@ -58,6 +58,6 @@
     }
   g_array_sort (list, compare_preferences);
   for (guint i = 0; i < list->len; i++)
-    visit (&g_array_index (list, fr_preference_t, i), user);
+    visit (&g_array_index (list, fr_instance_view_t, i), user);
   g_array_unref (list);
 }
--- a/packages/call/tests/fixture-entry.c
+++ b/packages/call/tests/fixture-entry.c
@@ -100,11 +100,11 @@
     {
       g_assert_cmpint (fr_parse_ticket (fb_wrap_text (entry_call->ticket), &ticket), ==, FB_OK);
       picked = ticket.node;
-      fr_begin_ranked (node->picker, &picked, rank);
+      fr_begin_attempt_for_rank (node->picker, &picked, rank);
     }
-  else if (!fr_admit_upstream (node->throttle, service, rank)
-           || !fr_pick_ranked (node->picker, service, rank, service, entry_call->targets,
-                               entry_call->target_count, &picked))
+  else if (!fr_admit_call (node->throttle, service, rank)
+           || !fr_pick_for_rank (node->picker, service, rank, service, entry_call->targets,
+                                 entry_call->target_count, &picked))
     return false;
   entry_call->targets[entry_call->target_count++] = picked;
   entry_call->target = (uint32_t)(picked.data[picked.len - 1] - '0');
@@ -184,11 +184,11 @@
   };
   uint32_t rank = node->simulation->requests[entry_call->request].rank;
 
-  fr_report_ranked (node->picker, &entry_call->targets[entry_call->target_count - 1], rank,
-                    results[outcome],
-                    fb_read_clock (node->simulation->clock) - entry_call->sent_at, load);
+  fr_report_result_for_rank (
+      node->picker, &entry_call->targets[entry_call->target_count - 1], rank, results[outcome],
+      fb_read_clock (node->simulation->clock) - entry_call->sent_at, load);
   if (!entry_call->has_ticket)
-    fr_report_upstream (node->throttle, service, rank, outcome != FW_NOT_RUN);
+    fr_report_call (node->throttle, service, rank, outcome != FW_NOT_RUN);
 }
 
 /* Handles OUTCOME of the current attempt: ends ENTRY_CALL or sends its next attempt. */
--- a/packages/call/tests/fixture-target.c
+++ b/packages/call/tests/fixture-target.c
@@ -193,7 +193,7 @@
 void
 handle_call (node_t *node, const event_t *call)
 {
-  char ticket[FR_TICKET_MAX];
+  char ticket[FR_TICKET_SIZE];
 
   if (call->ticket[0] != '\0')
     handle_ticket (node, call);
--- a/packages/call/tests/test-once.c
+++ b/packages/call/tests/test-once.c
@@ -16,7 +16,7 @@
 static fr_ticket_t
 issue_ticket (fr_once_t *once)
 {
-  char text[FR_TICKET_MAX];
+  char text[FR_TICKET_SIZE];
   fr_ticket_t ticket;
 
   fr_issue_ticket (once, text);
--- a/packages/call/tests/test-picker.c
+++ b/packages/call/tests/test-picker.c
@@ -85,12 +85,12 @@
       fb_name_t picked;
       guint number;
 
-      g_assert_true (fr_pick_ranked (fixture->picker, service, rank, FB_LITERAL ("key"), NULL,
-                                     0, &picked));
+      g_assert_true (fr_pick_for_rank (fixture->picker, service, rank, FB_LITERAL ("key"), NULL,
+                                       0, &picked));
       number = (guint)g_ascii_strtoull (picked.data + 5, NULL, 10);
       g_assert_cmpuint (number, <, size);
       counts[number]++;
-      fr_report_ranked (fixture->picker, &picked, rank, FR_RESULT_CANCELLED, 0, 0);
+      fr_report_result_for_rank (fixture->picker, &picked, rank, FR_RESULT_CANCELLED, 0, 0);
     }
 }
 
@@ -105,7 +105,7 @@
   fr_update_instance (fixture.picker, &self);
   for (int i = 0; i < 160; i++)
     update_member (&fixture, i, i % 8, i % 8 / 4, FW_ALIVE);
-  g_assert_cmpuint (fr_count_instances (fixture.picker, service), ==, 16);
+  g_assert_cmpuint (fr_count_available_instances (fixture.picker, service), ==, 16);
   /* Excluding the instances picked so far enumerates the subset. */
   for (size_t i = 0; i <= 16; i++)
     {
@@ -188,7 +188,7 @@
   fr_report_result (fixture.picker, &picked, FR_RESULT_ANSWERED, FB_MILLISECOND, 0);
   fr_report_result (fixture.picker, &picked, FR_RESULT_ANSWERED, FB_MILLISECOND, 0);
   g_assert_cmpuint (g_hash_table_size (fixture.picker->instances), ==, 1);
-  g_assert_cmpuint (fr_count_instances (fixture.picker, service), ==, 1);
+  g_assert_cmpuint (fr_count_available_instances (fixture.picker, service), ==, 1);
   destroy_fixture (&fixture);
 }
 
@@ -324,12 +324,12 @@
   g_assert_cmpint (counts[1], ==, 0);
   fb_advance_clock (fixture.clock, 60 * FB_SECOND);
   for (int i = 0; i < 3; i++)
-    fr_begin_ranked (fixture.picker, &id, 2);
+    fr_begin_attempt_for_rank (fixture.picker, &id, 2);
   count_picks (&fixture, 2, counts, 2);
   g_assert_cmpint (counts[0], ==, 0);
   count_picks (&fixture, 1, counts, 2);
   g_assert_cmpint (counts[0], >, PICKS / 5);
-  fr_report_ranked (fixture.picker, &id, 2, FR_RESULT_CANCELLED, 0, 0);
+  fr_report_result_for_rank (fixture.picker, &id, 2, FR_RESULT_CANCELLED, 0, 0);
   for (int i = 0; i < 40; i++)
     {
       report_attempt (&fixture, 0, FR_RESULT_FAILED, FB_MICROSECOND, 0);
@@ -360,7 +360,7 @@
 }
 
 static void
-append_preference (const fr_preference_t *preference, void *user)
+append_preference (const fr_instance_view_t *preference, void *user)
 {
   g_string_append_printf (user, "%s %s %s%s%s\n", preference->member->id.data,
                           preference->distance, preference->candidate ? "candidate" : "spare",
--- a/packages/call/tests/test-retry.c
+++ b/packages/call/tests/test-retry.c
@@ -136,7 +136,7 @@
   int sent;
 
   for (int i = 0; i < 1000; i++)
-    g_assert_true (fr_admit_upstream (throttle, service, 0));
+    g_assert_true (fr_admit_call (throttle, service, 0));
   g_assert_cmpint (offer_calls (throttle, clock, 0, "a", 5000, 1), ==, 5000);
   offer_calls (throttle, clock, 1, "a", 20000, 0);
   sent = offer_calls (throttle, clock, 1, "a", 10000, 0);
--- a/packages/call/tests/test-split.c
+++ b/packages/call/tests/test-split.c
@@ -131,13 +131,13 @@
                        cases[i].local_wait_ms * FB_MILLISECOND);
       fr_report_times (picker, &remote, 0, 60 * FB_MILLISECOND, 0);
       if (cases[i].unreachable)
-        fr_report_ranked (picker, &local, 0, FR_RESULT_UNREACHABLE, 0, 0);
-      g_assert_true (
-          fr_pick_target (picker, service, 0, 200 * FB_MILLISECOND, NULL, 0, &picked));
+        fr_report_result_for_rank (picker, &local, 0, FR_RESULT_UNREACHABLE, 0, 0);
+      g_assert_true (fr_pick_for_latency_target (picker, service, 0, 200 * FB_MILLISECOND, NULL,
+                                                 0, &picked));
       g_assert_cmpstr (picked.data, ==, cases[i].picked);
       fb_advance_clock (clock, 2 * FB_SECOND);
-      g_assert_true (
-          fr_pick_target (picker, service, 0, 200 * FB_MILLISECOND, NULL, 0, &picked));
+      g_assert_true (fr_pick_for_latency_target (picker, service, 0, 200 * FB_MILLISECOND, NULL,
+                                                 0, &picked));
       g_assert_cmpstr (picked.data, ==, "local");
       fr_destroy_picker (picker);
       fb_destroy_clock (clock);
@@ -180,8 +180,8 @@
       fr_report_times (picker, &local, 0, 60 * FB_MILLISECOND, FB_SECOND);
       fr_report_times (picker, &remote, 0, 60 * FB_MILLISECOND,
                        cases[i].remote_wait_ms * FB_MILLISECOND);
-      g_assert_cmpint (fr_pick_target (picker, service, 0, 200 * FB_MILLISECOND, &local,
-                                       cases[i].local_excluded, &picked),
+      g_assert_cmpint (fr_pick_for_latency_target (picker, service, 0, 200 * FB_MILLISECOND,
+                                                   &local, cases[i].local_excluded, &picked),
                        ==, cases[i].picked != NULL);
       g_assert_cmpstr (picked.data, ==, cases[i].picked ? cases[i].picked : "");
       fr_destroy_picker (picker);
--- a/packages/call/tests/test-timed.c
+++ b/packages/call/tests/test-timed.c
@@ -31,11 +31,11 @@
               bool is_caller_retry)
 {
   fb_time_t now = fb_read_clock (fixture->clock);
-  fr_call_times_t times
+  fr_call_options_t times
       = { now + FB_SECOND, now + target_ms * FB_MILLISECOND, is_caller_retry };
 
-  fr_offer_call_with_times (fixture->admission, (uint64_t)number, GINT_TO_POINTER (number),
-                            rank, FB_LITERAL ("c"), 1, &times);
+  fr_offer_call_with_options (fixture->admission, (uint64_t)number, GINT_TO_POINTER (number),
+                              rank, FB_LITERAL ("c"), 1, &times);
 }
 
 static void
--- a/packages/dist/include/foxtailrun/dist/feed.h
+++ b/packages/dist/include/foxtailrun/dist/feed.h
@@ -46,7 +46,7 @@
 {
   /* Starts READ, borrowed. The results go to fd_add_endpoint, fd_remove_endpoint and
    * fd_set_document, then fd_end_read is called. At most one read is outstanding. */
-  void (*read) (const fd_read_t *read, void *user);
+  void (*start_read) (const fd_read_t *read, void *user);
   /* Sends REQUEST, borrowed, to RELAY; ends by fd_handle_response or fd_fail_request. At most
    * one request is outstanding. */
   void (*send_request) (const fw_member_t *relay, const fw_feed_message_t *request, void *user);
--- a/packages/dist/include/foxtailrun/dist/node.h
+++ b/packages/dist/include/foxtailrun/dist/node.h
@@ -13,22 +13,23 @@
 /* Longest wait of one watch. It bounds the delay of a change that a watch misses (a lost
  * response, an index reset while a response was in transit, a silent connection) and leaves 2 s
  * of the 6 s limit for dissemination. With 16 readers it makes 4 calls a second. */
-#define FD_WATCH_WAIT (4 * FB_SECOND)
+#define FD_WATCH_WAIT_MAX (4 * FB_SECOND)
 
 typedef struct
 {
   /* Sends a control message to a member; both are borrowed. */
   void (*send) (const fw_member_t *to, const fw_control_t *message, void *user);
   /* Starts a read of the source's document; INDEX 0 reads at once, otherwise the read waits up
-   * to FD_WATCH_WAIT for an index above it. Ends by fd_handle_source_value. At most one read is
-   * outstanding. */
+   * to FD_WATCH_WAIT_MAX for an index above it. Ends by fd_handle_source_result. At most one
+   * read is outstanding. */
   void (*read_source) (uint64_t index, void *user);
   /* Applies SNAPSHOT in one step; the receiver retains it as long as it needs it. */
   void (*apply) (fc_snapshot_t *snapshot, const fb_version_t *version, void *user);
   /* READY is whether the node may accept calls. */
   void (*set_ready) (bool ready, void *user);
   /* A published document was refused; no change in it is applied. */
-  void (*refused) (const fb_version_t *version, const fc_problems_t *problems, void *user);
+  void (*document_refused) (const fb_version_t *version, const fc_problems_t *problems,
+                            void *user);
   void *user;
 } fd_hooks_t;
 
@@ -63,8 +64,8 @@
 /* Ends a source read: STATUS is FB_OK with INDEX and DOCUMENT, FB_NOT_FOUND when nothing is
  * published, FB_TIMEOUT when the wait ended without a change, anything else for a failed read.
  */
-void fd_handle_source_value (fd_node_t *node, fb_status_t status, uint64_t index,
-                             fb_bytes_t document);
+void fd_handle_source_result (fd_node_t *node, fb_status_t status, uint64_t index,
+                              fb_bytes_t document);
 
 /* Runs whatever is due; call it every 100 ms. A call that comes over 2 s late means that the
  * process was paused: the node stops being ready and joins again. */
--- a/packages/dist/source/dist-document.c
+++ b/packages/dist/source/dist-document.c
@@ -42,7 +42,7 @@
   fb_format_version (version, text, sizeof text);
   FB_LOG (node->log, FB_LOG_WARNING, "dist", "document refused", FB_TEXT ("version", text),
           FB_NUMBER ("problems", fc_count_problems (problems)));
-  node->hooks.refused (version, problems, node->hooks.user);
+  node->hooks.document_refused (version, problems, node->hooks.user);
 }
 
 /* Refuses a document that carries another number than the peer claimed. The document itself may
--- a/packages/dist/source/dist-feed.c
+++ b/packages/dist/source/dist-feed.c
@@ -120,7 +120,7 @@
   feed->read_started_at = now;
   feed->documents_read = 0;
   fb_add_counter (feed->reads, 1);
-  feed->hooks.read (&read, feed->hooks.user);
+  feed->hooks.start_read (&read, feed->hooks.user);
 }
 
 fb_time_t
@@ -137,7 +137,7 @@
     next = MIN (next, get_next_read_time (feed, now));
   if (fd_can_request (feed))
     next = MIN (next, MAX (feed->next_request_at, now));
-  if (!fm_is_settled (feed->listing))
+  if (!fm_is_listing_settled (feed->listing))
     next = MIN (next, now + SETTLE_CHECK_PERIOD);
   return next;
 }
--- a/packages/dist/source/dist-source.c
+++ b/packages/dist/source/dist-source.c
@@ -151,8 +151,8 @@
 }
 
 void
-fd_handle_source_value (fd_node_t *node, fb_status_t status, uint64_t index,
-                        fb_bytes_t document)
+fd_handle_source_result (fd_node_t *node, fb_status_t status, uint64_t index,
+                         fb_bytes_t document)
 {
   fd_source_t *source = &node->source;
 
--- a/packages/dist/source/feed-relay.c
+++ b/packages/dist/source/feed-relay.c
@@ -181,7 +181,7 @@
       set_relay (feed, &no_relay, "other nodes follow this one", now);
       return;
     }
-  fm_visit_changes (feed->listing, 0, add_candidate, &zone_nodes);
+  fm_visit_listing_changes (feed->listing, 0, add_candidate, &zone_nodes);
   relay = choose_relay (feed, &zone_nodes, now);
   if (relay)
     {
@@ -308,7 +308,7 @@
 is_up_to_date (const fd_feed_t *feed, fb_time_t now)
 {
   return feed->synced && feed->read_kind != FD_READ_ALL && feed->consecutive_failures == 0
-         && fm_is_settled (feed->listing)
+         && fm_is_listing_settled (feed->listing)
          && now < feed->known_at + 2 * feed->options.poll_interval;
 }
 
@@ -325,7 +325,7 @@
   fw_feed_message_t update
       = { .kind = FW_FEED_UPDATE,
           .feed_id = feed->id,
-          .sequence = fm_get_sequence (feed->listing),
+          .sequence = fm_get_listing_sequence (feed->listing),
           .position = feed->position,
           .document_position = feed->documents[0].position,
           .digest = feed->documents[0].digest,
@@ -333,10 +333,10 @@
           .request_wait_us = (uint64_t)((now - pending->arrived_at) / FB_MICROSECOND) };
 
   update.complete = pending->message.feed_id != feed->id
-                    || !fm_visit_changes (feed->listing, pending->message.sequence,
-                                          append_endpoint, endpoints);
+                    || !fm_visit_listing_changes (feed->listing, pending->message.sequence,
+                                                  append_endpoint, endpoints);
   if (update.complete)
-    fm_visit_changes (feed->listing, 0, append_endpoint, endpoints);
+    fm_visit_listing_changes (feed->listing, 0, append_endpoint, endpoints);
   update.endpoint_count = MIN (endpoints->len, FW_ENDPOINTS_MAX);
   update.endpoints = (fw_endpoint_t *)(void *)endpoints->data;
   if (pending->message.document_position < update.document_position)
@@ -355,7 +355,8 @@
 
   if (feed->position < request->position || now >= feed->known_at + feed->options.poll_interval)
     return false;
-  return request->feed_id != feed->id || request->sequence != fm_get_sequence (feed->listing)
+  return request->feed_id != feed->id
+         || request->sequence != fm_get_listing_sequence (feed->listing)
          || request->document_position < feed->documents[0].position
          || feed->read_completed_at > pending->arrived_at;
 }
--- a/packages/dist/tests/fixture-node.c
+++ b/packages/dist/tests/fixture-node.c
@@ -143,7 +143,7 @@
   bytes.data = g_bytes_get_data (document, &bytes.len);
   g_assert_true (fixture->read_outstanding);
   fixture->read_outstanding = false;
-  fd_handle_source_value (fixture->node, FB_OK, index, bytes);
+  fd_handle_source_result (fixture->node, FB_OK, index, bytes);
 }
 
 void
@@ -151,7 +151,7 @@
 {
   g_assert_true (fixture->read_outstanding);
   fixture->read_outstanding = false;
-  fd_handle_source_value (fixture->node, status, 0, (fb_bytes_t){ NULL, 0 });
+  fd_handle_source_result (fixture->node, status, 0, (fb_bytes_t){ NULL, 0 });
 }
 
 void
--- a/packages/dist/tests/test-fleet.c
+++ b/packages/dist/tests/test-fleet.c
@@ -313,7 +313,8 @@
   sf_run_fleet (run.fleet, 30 * FB_SECOND);
   /* Each reader has one call open and starts the next when a wait ends. */
   g_assert_cmpuint (run.fleet->source.calls - calls, <=,
-                    readers * (1 + (30 * FB_SECOND + FD_WATCH_WAIT - 1) / FD_WATCH_WAIT));
+                    readers
+                        * (1 + (30 * FB_SECOND + FD_WATCH_WAIT_MAX - 1) / FD_WATCH_WAIT_MAX));
   publish_next (&run);
   propagation = await_convergence (run.fleet, PROPAGATION_MAX);
   measurements->propagation = MAX (measurements->propagation, propagation);
@@ -380,7 +381,7 @@
   /* Each reader makes one read without a wait, one with a wait, and one for each wait that
    * ended in the 17 s or more since its join. */
   g_assert_cmpuint (fleet->source.calls, ==,
-                    SF_HOSTS_MAX + 6 * (2 + 17 * FB_SECOND / FD_WATCH_WAIT));
+                    SF_HOSTS_MAX + 6 * (2 + 17 * FB_SECOND / FD_WATCH_WAIT_MAX));
   sf_destroy_fleet (fleet);
 }
 
--- a/packages/member/include/foxtailrun/member/listing.h
+++ b/packages/member/include/foxtailrun/member/listing.h
@@ -42,15 +42,15 @@
 size_t fm_count_endpoints (const fm_listing_t *listing);
 
 /* Returns whether the source is available and the grace period is over. */
-bool fm_is_settled (const fm_listing_t *listing);
+bool fm_is_listing_settled (const fm_listing_t *listing);
 
 /* Returns the sequence number of the last reported change, counted from 1; 0 for none. */
-uint64_t fm_get_sequence (const fm_listing_t *listing);
+uint64_t fm_get_listing_sequence (const fm_listing_t *listing);
 
 /* Calls VISIT for each endpoint that changed after SEQUENCE, removed ones as FW_DEAD; a
  * SEQUENCE of 0 visits all listed endpoints. Returns false, without a visit, when the record of
  * a removal after SEQUENCE has been discarded. */
-bool fm_visit_changes (const fm_listing_t *listing, uint64_t sequence, fm_endpoint_fn_t visit,
-                       void *user);
+bool fm_visit_listing_changes (const fm_listing_t *listing, uint64_t sequence,
+                               fm_endpoint_fn_t visit, void *user);
 
 #endif
--- a/packages/member/source/member-listing.c
+++ b/packages/member/source/member-listing.c
@@ -4,8 +4,8 @@
 #include <glib.h>
 #include <string.h>
 
-/* Largest number of removal records for fm_visit_changes: about a quarter of a fleet of 1,000
- * being replaced. */
+/* Largest number of removal records for fm_visit_listing_changes: about a quarter of a fleet of
+ * 1,000 being replaced. */
 #define REMOVED_ENDPOINTS_MAX 256
 
 typedef struct
@@ -115,7 +115,7 @@
 }
 
 bool
-fm_is_settled (const fm_listing_t *listing)
+fm_is_listing_settled (const fm_listing_t *listing)
 {
   return !listing->source_unavailable
          && fb_read_clock (listing->clock) >= listing->grace_ends_at;
@@ -128,7 +128,7 @@
 
   if (!entry)
     return;
-  if (!fm_is_settled (listing))
+  if (!fm_is_listing_settled (listing))
     {
       entry->missing = true;
       return;
@@ -185,7 +185,7 @@
   GHashTableIter iter;
   gpointer value;
 
-  if (!fm_is_settled (listing))
+  if (!fm_is_listing_settled (listing))
     return;
   g_hash_table_iter_init (&iter, listing->entries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -206,14 +206,14 @@
 }
 
 uint64_t
-fm_get_sequence (const fm_listing_t *listing)
+fm_get_listing_sequence (const fm_listing_t *listing)
 {
   return listing->sequence;
 }
 
 bool
-fm_visit_changes (const fm_listing_t *listing, uint64_t sequence, fm_endpoint_fn_t visit,
-                  void *user)
+fm_visit_listing_changes (const fm_listing_t *listing, uint64_t sequence,
+                          fm_endpoint_fn_t visit, void *user)
 {
   GHashTableIter iter;
   gpointer value;
--- a/packages/node/source/node-backend-ticket.c
+++ b/packages/node/source/node-backend-ticket.c
@@ -112,7 +112,7 @@
 void
 fn_send_ticket (fn_backend_call_t *backend_call)
 {
-  char ticket[FR_TICKET_MAX];
+  char ticket[FR_TICKET_SIZE];
   fw_call_t answer = { .outcome = FW_NOT_RUN,
                        .status = 428,
                        .reason = FB_LITERAL ("repeat the request with the ticket"),
--- a/packages/node/source/node-backend.c
+++ b/packages/node/source/node-backend.c
@@ -250,7 +250,7 @@
 {
   fn_backend_call_t *backend_call = call;
   fw_call_t answer = { .outcome = FW_NOT_RUN,
-                       .status = refusal == FR_REFUSED_FULL ? 429 : 503,
+                       .status = refusal == FR_REFUSED_QUEUE_FULL ? 429 : 503,
                        .reason = fb_wrap_text (fr_describe_refusal (refusal)),
                        .retry_elsewhere = refusal == FR_REFUSED_CANCELLED };
 
@@ -387,16 +387,16 @@
   fn_backend_t *backend = backend_call->backend;
   fc_snapshot_t *snapshot
       = fn_get_snapshot (fk_find_service (backend->kernel, FN_DISTRIBUTION));
-  fr_call_times_t times = { backend_call->deadline, backend_call->target_time,
-                            backend_call->call.is_caller_retry };
+  fr_call_options_t times = { backend_call->deadline, backend_call->target_time,
+                              backend_call->call.is_caller_retry };
 
   if (backend_call->has_ticket && !fn_begin_ticket (backend_call))
     return;
   configure_admission (backend, snapshot);
-  fr_offer_call_with_times (backend->admission, backend_call->handle, backend_call,
-                            find_rank (backend_call), backend_call->call.customer,
-                            fc_get_customer_weight (snapshot, backend_call->call.customer),
-                            &times);
+  fr_offer_call_with_options (backend->admission, backend_call->handle, backend_call,
+                              find_rank (backend_call), backend_call->call.customer,
+                              fc_get_customer_weight (snapshot, backend_call->call.customer),
+                              &times);
 }
 
 static fb_status_t
@@ -562,7 +562,7 @@
 }
 
 bool
-fn_is_parent_repeat (fn_backend_t *backend, fb_str_t request_id)
+fn_is_parent_retry (fn_backend_t *backend, fb_str_t request_id)
 {
   GHashTableIter iter;
   gpointer value;
--- a/packages/node/source/node-burn.c
+++ b/packages/node/source/node-burn.c
@@ -53,8 +53,8 @@
 }
 
 void
-fn_count_burn (fn_burn_t *burn, const fc_snapshot_t *snapshot, const fc_route_t *route,
-               const fw_call_t *answer, fb_time_t arrived_at)
+fn_count_objective_call (fn_burn_t *burn, const fc_snapshot_t *snapshot,
+                         const fc_route_t *route, const fw_call_t *answer, fb_time_t arrived_at)
 {
   if (is_ignored (answer))
     return;
@@ -66,13 +66,14 @@
 }
 
 void
-fn_count_refusal (fn_burn_t *burn, const fc_snapshot_t *snapshot, const fc_route_t *route)
+fn_count_objective_refusal (fn_burn_t *burn, const fc_snapshot_t *snapshot,
+                            const fc_route_t *route)
 {
   fw_call_t refusal = { .outcome = FW_NOT_RUN };
 
   if (snapshot && route)
-    fn_count_burn (burn, snapshot, route, &refusal,
-                   fb_read_clock (fk_get_clock (burn->kernel)));
+    fn_count_objective_call (burn, snapshot, route, &refusal,
+                             fb_read_clock (fk_get_clock (burn->kernel)));
 }
 
 static json_t *
--- a/packages/node/source/node-calls.c
+++ b/packages/node/source/node-calls.c
@@ -175,7 +175,7 @@
     outgoing->peer->last_received_at = read_time (calls);
   g_hash_table_remove (calls->outgoing, &id);
   if (response->result == FH_NOT_SENT)
-    fn_fail_unsent (entry, id);
+    fn_fail_unsent_attempt (entry, id);
   else if (response->result == FH_ANSWERED && response->status == 200
            && decode_call (calls, response->body, &answer) && answer.kind == FW_ANSWER)
     {
@@ -183,7 +183,8 @@
       fn_end_attempt (entry, &answer);
     }
   else
-    fn_fail_unanswered (entry, id, response->error ? response->error : "no call message");
+    fn_fail_unanswered_attempt (entry, id,
+                                response->error ? response->error : "no call message");
 }
 
 static char *
@@ -228,7 +229,7 @@
   GHashTableIter iter;
   gpointer value;
 
-  fn_avoid_instance (entry, &peer->instance, read_time (calls) + UNRESPONSIVE_AVOID_TIME);
+  fn_eject_instance (entry, &peer->instance, read_time (calls) + UNRESPONSIVE_AVOID_TIME);
   if (fn_is_draining (calls->kernel))
     goto done;
   g_hash_table_iter_init (&iter, calls->outgoing);
@@ -245,7 +246,7 @@
       uint64_t id = g_array_index (ids, uint64_t, i);
 
       fn_cancel_sent_call (calls, id);
-      fn_fail_unanswered (entry, id, "the node is silent");
+      fn_fail_unanswered_attempt (entry, id, "the node is silent");
     }
 
 done:
--- a/packages/node/source/node-distribution.c
+++ b/packages/node/source/node-distribution.c
@@ -209,7 +209,7 @@
 {
   fn_distribution_t *distribution = fk_find_service (kernel, FN_DISTRIBUTION);
 
-  fd_handle_source_value (distribution->node, status, index, document);
+  fd_handle_source_result (distribution->node, status, index, document);
 }
 
 void
--- a/packages/node/source/node-entry-attempt.c
+++ b/packages/node/source/node-entry-attempt.c
@@ -107,8 +107,9 @@
   fr_report_times (entry->picker, instance, call->route->rank,
                    (fb_time_t)answer->service_us * FB_MICROSECOND,
                    (fb_time_t)answer->wait_us * FB_MICROSECOND);
-  fr_report_ranked (entry->picker, instance, call->route->rank, classify_answer (answer),
-                    read_time (entry) - call->attempt_started_at, answer->load);
+  fr_report_result_for_rank (entry->picker, instance, call->route->rank,
+                             classify_answer (answer),
+                             read_time (entry) - call->attempt_started_at, answer->load);
   fr_report_customer (entry->throttle, get_service_name (call), call->route->rank,
                       call->customer, accepted);
   call->may_have_run |= answer->outcome != FW_NOT_RUN;
@@ -195,7 +196,7 @@
     .target_left_us
     = (uint64_t)(MAX (call->target_time - call->attempt_started_at, 0) / FB_MICROSECOND),
     .is_caller_retry = call->is_caller_retry,
-    .earlier_attempt_arrived = call->reached_backend || call->parent_is_repeat,
+    .earlier_attempt_arrived = call->reached_backend || call->parent_is_retry,
     .ticket = call->ticket,
     .request_id = fb_wrap_text (call->request_id),
     .body = fh_get_body (call->request),
@@ -249,7 +250,7 @@
       return;
     }
   call->tried_instances[call->attempt_count++] = ticket.node;
-  fr_begin_ranked (entry->picker, &ticket.node, call->route->rank);
+  fr_begin_attempt_for_rank (entry->picker, &ticket.node, call->route->rank);
   send_attempt (call, node);
 }
 
@@ -266,8 +267,9 @@
       start_ticket_attempt (call);
       return;
     }
-  if (!fr_pick_target (entry->picker, service, call->route->rank, call->latency_target,
-                       call->tried_instances, call->attempt_count, &instance))
+  if (!fr_pick_for_latency_target (entry->picker, service, call->route->rank,
+                                   call->latency_target, call->tried_instances,
+                                   call->attempt_count, &instance))
     {
       fn_finish_with_outcome (call, FW_NOT_RUN, 503,
                               call->attempt_count > 0
@@ -279,7 +281,8 @@
   node = find_node (entry, &instance);
   if (!node)
     {
-      fr_report_ranked (entry->picker, &instance, call->route->rank, FR_RESULT_CANCELLED, 0, 0);
+      fr_report_result_for_rank (entry->picker, &instance, call->route->rank,
+                                 FR_RESULT_CANCELLED, 0, 0);
       fn_finish_with_outcome (call, FW_NOT_RUN, 503, "the chosen instance has left");
       return;
     }
@@ -297,7 +300,8 @@
   if (attempt_id == 0)
     return;
   instance = close_attempt (call);
-  fr_report_ranked (entry->picker, instance, call->route->rank, FR_RESULT_CANCELLED, 0, 0);
+  fr_report_result_for_rank (entry->picker, instance, call->route->rank, FR_RESULT_CANCELLED, 0,
+                             0);
   if (call->is_local)
     {
       fn_cancel_call (find_backend (entry), handle);
@@ -320,7 +324,7 @@
 }
 
 void
-fn_fail_unsent (fn_entry_t *entry, uint64_t id)
+fn_fail_unsent_attempt (fn_entry_t *entry, uint64_t id)
 {
   fn_entry_call_t *call = g_hash_table_lookup (entry->attempts, &id);
 
@@ -329,7 +333,7 @@
 }
 
 void
-fn_fail_unanswered (fn_entry_t *entry, uint64_t id, const char *reason)
+fn_fail_unanswered_attempt (fn_entry_t *entry, uint64_t id, const char *reason)
 {
   fn_entry_call_t *call = g_hash_table_lookup (entry->attempts, &id);
 
--- a/packages/node/source/node-entry.c
+++ b/packages/node/source/node-entry.c
@@ -142,8 +142,8 @@
   log_call (call, &final_answer);
   fb_observe_time (entry->durations[final_answer.outcome],
                    fb_read_clock (fk_get_clock (entry->kernel)) - call->arrived_at);
-  fn_count_burn (fk_find_service (entry->kernel, FN_BURN), call->snapshot, call->route,
-                 &final_answer, call->arrived_at);
+  fn_count_objective_call (fk_find_service (entry->kernel, FN_BURN), call->snapshot,
+                           call->route, &final_answer, call->arrived_at);
   respond (entry, call->request, &final_answer, call->request_id);
   fk_destroy_timer (call->timer);
   fc_release_snapshot (call->snapshot);
@@ -394,7 +394,7 @@
                            fh_get_path (request));
   if (!ready || !snapshot || entry->closed)
     {
-      fn_count_refusal (fk_find_service (entry->kernel, FN_BURN), snapshot, route);
+      fn_count_objective_refusal (fk_find_service (entry->kernel, FN_BURN), snapshot, route);
       refuse_request (entry, request, 503,
                       entry->closed ? "node is shutting down" : "node is not ready",
                       request_id);
@@ -417,7 +417,7 @@
       && !fr_admit_customer (entry->throttle, service, route->rank, customer))
     {
       fb_add_counter (entry->throttled, 1);
-      fn_count_refusal (fk_find_service (entry->kernel, FN_BURN), snapshot, route);
+      fn_count_objective_refusal (fk_find_service (entry->kernel, FN_BURN), snapshot, route);
       refuse_request (entry, request, 429, "service is overloaded for this rank", request_id);
       return;
     }
@@ -425,9 +425,9 @@
                        (fb_time_t)fc_get_idle_timeout_ms (snapshot) * FB_MILLISECOND);
   call = create_call (entry, request, snapshot, route, service_index, request_id);
   fh_set_cancelled_handler (request, cancel_call, call);
-  call->parent_is_repeat = fn_is_parent_repeat (fk_find_service (entry->kernel, FN_BACKEND),
-                                                fb_wrap_text (request_id));
-  if (call->parent_is_repeat)
+  call->parent_is_retry = fn_is_parent_retry (fk_find_service (entry->kernel, FN_BACKEND),
+                                              fb_wrap_text (request_id));
+  if (call->parent_is_retry)
     fr_charge_retry (entry->budget, service);
   else
     fr_deposit_retry (entry->budget, service);
@@ -552,9 +552,9 @@
 }
 
 void
-fn_avoid_instance (fn_entry_t *entry, const fb_name_t *instance, fb_time_t until)
+fn_eject_instance (fn_entry_t *entry, const fb_name_t *instance, fb_time_t until)
 {
-  fr_avoid_until (entry->picker, instance, until);
+  fr_eject_until (entry->picker, instance, until);
 }
 
 size_t
@@ -566,5 +566,5 @@
 size_t
 fn_count_instances (fn_entry_t *entry, fb_str_t service)
 {
-  return fr_count_instances (entry->picker, service);
+  return fr_count_available_instances (entry->picker, service);
 }
--- a/packages/node/source/node-entry.h
+++ b/packages/node/source/node-entry.h
@@ -72,7 +72,7 @@
   uint32_t retry_elsewhere_count; /* of those, refused by a single node */
   bool may_have_run;              /* an attempt ended with another outcome than FW_NOT_RUN */
   bool reached_backend;           /* an attempt reached a backend server or possibly did */
-  bool parent_is_repeat;          /* sent by a backend server that runs a repeated call */
+  bool parent_is_retry;           /* sent by a backend server that runs a repeated call */
   fb_name_t tried_instances[FN_ATTEMPTS_MAX];
   uint64_t attempt_id; /* open attempt, 0 when none */
   fb_time_t attempt_started_at;
--- a/packages/node/source/node-explain.c
+++ b/packages/node/source/node-explain.c
@@ -42,7 +42,7 @@
 }
 
 static const char *
-describe_use (const fr_preference_t *preference)
+describe_use (const fr_instance_view_t *preference)
 {
   if (preference->candidate)
     return "candidate";
@@ -52,7 +52,7 @@
 }
 
 static void
-append_instance (const fr_preference_t *preference, void *user)
+append_instance (const fr_instance_view_t *preference, void *user)
 {
   instance_list_t *instances = user;
   const fw_member_t *member = preference->member;
--- a/packages/node/source/node-services.h
+++ b/packages/node/source/node-services.h
@@ -133,7 +133,7 @@
 
 /* Returns whether REQUEST_ID is a call that the backend server makes on behalf of a call that
  * it runs as a retry. The id of such a call is the id of its parent, a dot and a number. */
-bool fn_is_parent_repeat (fn_backend_t *backend, fb_str_t request_id);
+bool fn_is_parent_retry (fn_backend_t *backend, fb_str_t request_id);
 
 /* Returns the number of calls that are not answered yet. */
 size_t fn_count_backend_calls (fn_backend_t *backend);
@@ -152,7 +152,7 @@
 void fn_register_calls (fk_kernel_t *kernel);
 
 /* Sends CALL to NODE. The result is reported later for the id of CALL: by fn_end_attempt,
- * fn_fail_unsent or fn_fail_unanswered. */
+ * fn_fail_unsent_attempt or fn_fail_unanswered_attempt. */
 void fn_send_call (fn_calls_t *calls, const fw_member_t *node, const fw_call_t *call);
 
 /* Cancels call ID, also at the node that serves it; no result is reported. */
@@ -176,14 +176,14 @@
 void fn_end_attempt (fn_entry_t *entry, const fw_call_t *answer);
 
 /* Fails attempt ID, of which provably nothing was sent to the other node. */
-void fn_fail_unsent (fn_entry_t *entry, uint64_t id);
+void fn_fail_unsent_attempt (fn_entry_t *entry, uint64_t id);
 
 /* Fails attempt ID, which was sent but has no complete answer, with REASON: its outcome is
  * unknown. */
-void fn_fail_unanswered (fn_entry_t *entry, uint64_t id, const char *reason);
+void fn_fail_unanswered_attempt (fn_entry_t *entry, uint64_t id, const char *reason);
 
 /* Sends new attempts to instances other than INSTANCE until UNTIL, if there are any. */
-void fn_avoid_instance (fn_entry_t *entry, const fb_name_t *instance, fb_time_t until);
+void fn_eject_instance (fn_entry_t *entry, const fb_name_t *instance, fb_time_t until);
 
 /* Returns the number of instances of SERVICE that calls can be sent to, ejected ones included.
  */
@@ -196,12 +196,14 @@
 
 /* Counts a call on ROUTE of SNAPSHOT that arrived at ARRIVED_AT and is now answered with
  * ANSWER. */
-void fn_count_burn (fn_burn_t *burn, const fc_snapshot_t *snapshot, const fc_route_t *route,
-                    const fw_call_t *answer, fb_time_t arrived_at);
+void fn_count_objective_call (fn_burn_t *burn, const fc_snapshot_t *snapshot,
+                              const fc_route_t *route, const fw_call_t *answer,
+                              fb_time_t arrived_at);
 
 /* Counts a call on ROUTE of SNAPSHOT that is refused on arrival. Without a route or snapshot
  * (NULL) no objective applies and nothing is counted. */
-void fn_count_refusal (fn_burn_t *burn, const fc_snapshot_t *snapshot, const fc_route_t *route);
+void fn_count_objective_refusal (fn_burn_t *burn, const fc_snapshot_t *snapshot,
+                                 const fc_route_t *route);
 
 /* Returns the counts of this node as a new JSON object, owned by the caller. */
 json_t *fn_describe_burn (fn_burn_t *burn);
--- a/packages/node/source/node-source.c
+++ b/packages/node/source/node-source.c
@@ -11,7 +11,7 @@
 
 /* Limit of each wait for data from the source: the duration of a watch and 1 s more, for the
  * sixteenth that Consul may add to it and for the response. */
-#define IO_TIMEOUT (FD_WATCH_WAIT + 1 * FB_SECOND)
+#define IO_TIMEOUT (FD_WATCH_WAIT_MAX + 1 * FB_SECOND)
 
 /* Interval at which a reader starts a watch of the host list if none is open. */
 #define HOSTS_POLL_INTERVAL (500 * FB_MILLISECOND)
@@ -153,7 +153,7 @@
     g_strlcpy (path, HOST_LIST_PATH, sizeof path);
   else
     snprintf (path, sizeof path, HOST_LIST_PATH "&index=%" G_GUINT64_FORMAT "&wait=%ds",
-              source->hosts_index, (int)(FD_WATCH_WAIT / FB_SECOND));
+              source->hosts_index, (int)(FD_WATCH_WAIT_MAX / FB_SECOND));
   source->hosts_read = send_get (source, path, end_hosts_read);
 }
 
@@ -227,7 +227,7 @@
     g_strlcpy (path, DOCUMENT_PATH, sizeof path);
   else
     snprintf (path, sizeof path, DOCUMENT_PATH "&index=%" G_GUINT64_FORMAT "&wait=%ds", index,
-              (int)(FD_WATCH_WAIT / FB_SECOND));
+              (int)(FD_WATCH_WAIT_MAX / FB_SECOND));
   source->document_read = send_get (source, path, end_document_read);
 }
 
--- a/standins/fleet/fleet-state.h
+++ b/standins/fleet/fleet-state.h
@@ -7,7 +7,7 @@
 #define SF_BASE_PORT 7000
 
 /* Longest wait of one read at the source. */
-#define SF_WATCH_WAIT_MAX FD_WATCH_WAIT
+#define SF_WATCH_WAIT_MAX FD_WATCH_WAIT_MAX
 
 typedef enum
 {
