--- a/packages/config/include/foxtailrun/config/problem.h
+++ b/packages/config/include/foxtailrun/config/problem.h
@@ -1,4 +1,4 @@
-/* Problems found in a configuration document or a settings file. */
+/* Problems of a configuration document or settings file. */
 #ifndef FOXTAILRUN_CONFIG_PROBLEM_H
 #define FOXTAILRUN_CONFIG_PROBLEM_H
 
@@ -22,8 +22,8 @@
 /* Frees the list; NULL is allowed. */
 void fc_destroy_problems (fc_problems_t *problems);
 
-/* Adds a problem; the strings are copied, with "?" for control characters. After 1,000 problems
- * one more states that the list is truncated; further ones are discarded. */
+/* Adds a problem; strings are copied, with "?" for control characters. After 1,000 problems
+ * one more states that the list is truncated; others are discarded. */
 void fc_add_problem (fc_problems_t *problems, uint32_t line, const char *key, const char *found,
                      const char *allowed);
 
@@ -33,7 +33,7 @@
 /* Returns problem INDEX in order of line, owned by the list; NULL when out of range. */
 const fc_problem_t *fc_get_problem (const fc_problems_t *problems, size_t index);
 
-/* Returns "FILE:LINE: KEY: found FOUND, allowed: ALLOWED", without LINE when it is 0; free with
+/* Returns "FILE:LINE: KEY: found FOUND, allowed: ALLOWED", without LINE if 0; free with
  * g_free. */
 char *fc_format_problem (const fc_problem_t *problem, const char *file);
 
--- a/packages/config/include/foxtailrun/config/schema.h
+++ b/packages/config/include/foxtailrun/config/schema.h
@@ -1,5 +1,5 @@
-/* Keys of the configuration document and of the settings file. The checks, the schema command
- * and the configuration reference use the same tables. */
+/* Keys of configuration document and settings file; the checks, the schema command and the
+ * configuration reference use the same tables. */
 #ifndef FOXTAILRUN_CONFIG_SCHEMA_H
 #define FOXTAILRUN_CONFIG_SCHEMA_H
 
--- a/packages/config/include/foxtailrun/config/settings.h
+++ b/packages/config/include/foxtailrun/config/settings.h
@@ -1,4 +1,4 @@
-/* Settings of one node, such as its addresses, zone, backend server and platform. */
+/* Settings of one node. */
 #ifndef FOXTAILRUN_CONFIG_SETTINGS_H
 #define FOXTAILRUN_CONFIG_SETTINGS_H
 
@@ -48,16 +48,16 @@
   fb_log_format_t log_format;
 } fc_settings_t;
 
-/* Parses and checks DOCUMENT into SETTINGS; FB_INVALID with every problem added to PROBLEMS,
- * which may be NULL. */
+/* Checks DOCUMENT into SETTINGS; FB_INVALID with every problem added to PROBLEMS, which may
+ * be NULL. */
 fb_status_t fc_check_settings (fb_bytes_t document, fc_settings_t *settings,
                                fc_problems_t *problems);
 
 /* Parses "IP:PORT" or "[IPv6]:PORT" with a port from 1. */
 bool fc_parse_socket_address (fb_str_t text, fc_socket_address_t *socket_address);
 
-/* Reads file PATH of at most MAX bytes into *DATA, which the caller frees with g_free;
- * FB_NOT_FOUND, FB_IO or FB_TOO_LARGE with one problem added. */
+/* Reads file PATH of at most MAX bytes into *DATA; free with g_free. FB_NOT_FOUND, FB_IO or
+ * FB_TOO_LARGE with one problem added. */
 fb_status_t fc_read_file (const char *path, size_t max, uint8_t **data, size_t *length,
                           fc_problems_t *problems);
 
--- a/packages/config/include/foxtailrun/config/snapshot.h
+++ b/packages/config/include/foxtailrun/config/snapshot.h
@@ -1,4 +1,4 @@
-/* Snapshots: the checked, immutable form of a configuration document. */
+/* Snapshots: checked, immutable configuration documents. */
 #ifndef FOXTAILRUN_CONFIG_SNAPSHOT_H
 #define FOXTAILRUN_CONFIG_SNAPSHOT_H
 
@@ -30,7 +30,7 @@
   size_t depends_count;
 } fc_service_t;
 
-/* One of the services among which the calls of a route are split. */
+/* One of the services that share a route's calls. */
 typedef struct
 {
   uint32_t service; /* index */
@@ -72,20 +72,20 @@
 
 typedef struct fc_snapshot fc_snapshot_t;
 
-/* Parses and checks DOCUMENT. Returns a snapshot with one reference, or NULL with every problem
- * found added to PROBLEMS, which may be NULL. Only this and fc_check_change create snapshots,
- * so that every index in a snapshot is valid. */
+/* Parses and checks DOCUMENT. Returns a snapshot with one reference, or NULL with every
+ * problem added to PROBLEMS, which may be NULL. Only this and fc_check_change create
+ * snapshots, so that every index is valid. */
 fc_snapshot_t *fc_check_document (fb_bytes_t document, fc_problems_t *problems);
 
-/* Does the same as fc_check_document, but parses only the sections that differ from BASE when
- * they are at most half of the text. BASE is borrowed for the call and may be NULL. */
+/* As fc_check_document, but parses only the sections that differ from BASE when they are at
+ * most half of the text. BASE is borrowed and may be NULL. */
 fc_snapshot_t *fc_check_change (fc_snapshot_t *base, fb_bytes_t document,
                                 fc_problems_t *problems);
 
 /* Adds a reference and returns SNAPSHOT; thread-safe. */
 fc_snapshot_t *fc_retain_snapshot (fc_snapshot_t *snapshot);
 
-/* Removes a reference, and frees SNAPSHOT with the last one; thread-safe. NULL is allowed. */
+/* Removes a reference; frees SNAPSHOT with the last; thread-safe. NULL is allowed. */
 void fc_release_snapshot (fc_snapshot_t *snapshot);
 
 /* Returns the publisher's version number. */
@@ -111,19 +111,19 @@
 const fc_customer_t *fc_get_customer (const fc_snapshot_t *snapshot, size_t index);
 const fc_objective_t *fc_get_objective (const fc_snapshot_t *snapshot, size_t index);
 
-/* Returns the rank or service called NAME, owned by the snapshot, and its index in *INDEX, or
- * NULL; INDEX may be NULL. */
+/* Returns rank or service NAME, owned by the snapshot, or NULL, and its index in *INDEX;
+ * INDEX may be NULL. */
 const fc_rank_t *fc_find_rank (const fc_snapshot_t *snapshot, fb_str_t name, uint32_t *index);
 const fc_service_t *fc_find_service (const fc_snapshot_t *snapshot, fb_str_t name,
                                      uint32_t *index);
 
-/* Returns the route of HOST with the longest path prefix of PATH (a query after "?" is ignored)
- * that allows METHOD, or NULL. A prefix matches complete path segments. Routes without a host
- * are searched when HOST, which may be empty, has no matching route. */
+/* Returns HOST's route with the longest prefix of PATH (a query after "?" is ignored) that
+ * allows METHOD, or NULL. Prefixes match complete segments. Routes without a host are
+ * searched when HOST, which may be empty, has no match. */
 const fc_route_t *fc_find_route (const fc_snapshot_t *snapshot, fb_str_t host, fb_str_t method,
                                  fb_str_t path);
 
-/* Returns the weight of customer NAME, or 1 when it is not listed. */
+/* Returns the weight of customer NAME, or 1 when not listed. */
 double fc_get_customer_weight (const fc_snapshot_t *snapshot, fb_str_t name);
 
 #endif
--- a/packages/config/source/check-change.c
+++ b/packages/config/source/check-change.c
@@ -1,11 +1,11 @@
-/* Check of a changed document that reuses the unchanged sections of an earlier snapshot. */
+/* Check of a changed document, reusing unchanged sections of an earlier snapshot. */
 #include "checker.h"
 #include <string.h>
 
 #define NODES_PER_CHUNK 1024
 
-/* A full parse costs less per byte than the parse of single sections, so it is used when more
- * than this fraction of the text has changed. */
+/* A full parse costs less per byte than parsing single sections: it is used when more than
+ * this fraction of the text changed. */
 #define CHANGED_FRACTION_MAX 0.5
 
 typedef struct
@@ -102,7 +102,7 @@
   add_integer (builder, table, "connections", service->connections);
 }
 
-/* Splits METHODS, joined by commas, from the end, as children are prepended. */
+/* Splits comma-joined METHODS from the end, as children are prepended. */
 static void
 add_method_values (tree_builder_t *builder, fc_toml_t *table, fb_str_t methods)
 {
@@ -179,8 +179,8 @@
   add_number (builder, table, "ratio", objective->ratio);
 }
 
-/* Adds the values of the element of BASE that belongs to SECTION to TABLE. Keys that the
- * section omits are added with their defaults, which gives the same element. */
+/* Adds the values of BASE's element of SECTION to TABLE. Omitted keys are added with their
+ * defaults, which gives the same element. */
 static void
 add_element_values (tree_builder_t *builder, fc_toml_t *table, const fc_section_t *section)
 {
@@ -206,7 +206,7 @@
     }
 }
 
-/* Returns the section of BASE with the same text as SECTION, or NULL. */
+/* Returns BASE's section with the text of SECTION, or NULL. */
 static const fc_section_t *
 find_unchanged_section (const tree_builder_t *builder, const fc_section_t *section)
 {
@@ -241,7 +241,7 @@
   return fc_get_toml_root (document);
 }
 
-/* Parses SECTION separately and copies its only table to TABLE. */
+/* Parses SECTION alone and copies its only table to TABLE. */
 static bool
 parse_section (tree_builder_t *builder, fc_toml_t *table, const fc_section_t *section)
 {
@@ -279,9 +279,8 @@
   return true;
 }
 
-/* Adds the keys before the first header, in the first HEAD_LENGTH bytes, and the lists of
- * tables to the root. Returns false when a value is not an integer, which the full check
- * reports. */
+/* Adds the keys before the first header, in HEAD_LENGTH bytes, and the lists of tables to
+ * the root. Returns false for a non-integer value, which the full check reports. */
 static bool
 link_root (tree_builder_t *builder, size_t head_length)
 {
--- a/packages/config/source/check-cycle.c
+++ b/packages/config/source/check-cycle.c
@@ -18,7 +18,7 @@
   size_t next; /* index of the next dependency to follow */
 } path_entry_t;
 
-/* Reports the cycle from path[START] to the end of the path and back. */
+/* Reports the cycle from path[START] to the path's end and back. */
 static void
 report_cycle (const fc_checker_t *checker, const path_entry_t *path, size_t start,
               size_t length, const uint32_t *lines)
@@ -39,7 +39,7 @@
   g_free (key);
 }
 
-/* Searches depth first from START, without recursion, as a chain can have 1,000 services. */
+/* Searches depth first from START, without recursion: a chain can have 1,000 services. */
 static void
 search_from (const fc_checker_t *checker, uint32_t start, uint8_t *states, path_entry_t *path,
              const uint32_t *lines)
--- a/packages/config/source/check-document.c
+++ b/packages/config/source/check-document.c
@@ -1,4 +1,4 @@
-/* Check of a document, and functions shared by the checks of its sections. */
+/* Check of a document, and functions shared by its sections' checks. */
 #include "checker.h"
 #include <foxtailrun/base/invariant.h>
 #include <string.h>
@@ -112,7 +112,7 @@
   fc_check_objectives (checker);
 }
 
-/* Returns whether SECTIONS have, in order, the lines of the tables in the checker's tree. */
+/* Returns whether SECTIONS have, in order, the lines of the tree's tables. */
 static bool
 has_same_tables (const fc_checker_t *checker, const GArray *sections)
 {
--- a/packages/config/source/check-rank.c
+++ b/packages/config/source/check-rank.c
@@ -5,7 +5,7 @@
 /* Number of orders that the schema allows. */
 #define ORDERS_COUNT 100
 
-/* Exceeds every rank index, so that each pair of service and rank has a different number. */
+/* Exceeds every rank index, so that each (service, rank) has its own number. */
 #define PAIR_STRIDE ((size_t)1 << 20)
 
 /* The floating-point sum of shares that add up to 1, such as 0.1 + 0.2 + 0.7, can exceed 1. */
@@ -105,7 +105,7 @@
     }
 }
 
-/* Reports a second objective for the same service and rank; PAIRS maps a pair to 1 + index. */
+/* Reports a second objective of a service and rank; PAIRS maps a pair to 1 + index. */
 static void
 check_unique_pair (fc_checker_t *checker, const fc_row_t *row, size_t index, GHashTable *pairs)
 {
--- a/packages/config/source/check-route.c
+++ b/packages/config/source/check-route.c
@@ -5,7 +5,7 @@
 /* Maximum weight of a part, as in the schema. */
 #define WEIGHT_MAX 1000000
 
-/* Stores the methods of ROW in *METHODS and appends them, joined by commas, to JOINED. */
+/* Stores ROW's methods in *METHODS and appends them, comma-joined, to JOINED. */
 static void
 check_methods (const fc_checker_t *checker, const fc_row_t *row, fc_methods_t *methods,
                GString *joined)
@@ -54,8 +54,7 @@
   g_free (found);
 }
 
-/* Parses TEXT, "NAME=WEIGHT", into *PART; returns false when it is malformed or NAME is not a
- * service. */
+/* Parses "NAME=WEIGHT" into *PART; false when malformed or NAME is no service. */
 static bool
 parse_weighted_service (const fc_snapshot_t *snapshot, fb_str_t text, fc_part_t *part)
 {
--- a/packages/config/source/check-row.h
+++ b/packages/config/source/check-row.h
@@ -30,27 +30,27 @@
 } fc_row_t;
 
 /* Checks TABLE, called PATH in problems, against SECTION of SCHEMA and stores its values in
- * ROW; invalid values are added to PROBLEMS and replaced by the default. Elements of arrays are
- * only checked to be strings; see fc_next_string. At the top level, whose path is "", the
- * sections are checked to be tables. */
+ * ROW; invalid ones are added to PROBLEMS and replaced by the default. Array elements are
+ * only checked to be strings; see fc_next_string. At the top level, path "", sections must
+ * be tables. */
 void fc_check_row (fc_row_t *row, const fc_schema_t *schema, const char *section,
                    const char *path, const fc_toml_t *table, fc_problems_t *problems);
 
 /* Returns the value of KEY, which must be in the schema; owned by ROW. */
 const fc_value_t *fc_get_value (const fc_row_t *row, const char *key);
 
-/* Returns the string after NODE, or the first one when NODE is NULL, of LIST, an array that may
- * be omitted; NULL after the last one. */
+/* Returns the string after NODE (NULL: the first) of LIST, an array that may be omitted;
+ * NULL after the last. */
 const fc_toml_t *fc_next_string (const fc_value_t *list, const fc_toml_t *node);
 
 /* Returns the child of TABLE called KEY, or NULL; TABLE may be NULL. */
 const fc_toml_t *fc_find_child (const fc_toml_t *table, const char *key);
 
-/* Adds a problem at KEY of ROW; when ALLOWED is NULL, the field's allowed values are used. */
+/* Adds a problem at KEY of ROW; ALLOWED may be NULL for the field's allowed values. */
 void fc_add_key_problem (fc_problems_t *problems, const fc_row_t *row, const char *key,
                          const char *found, const char *allowed);
 
-/* Adds a problem at KEY of ROW that quotes NODE, the value or an array element. */
+/* Adds a problem at KEY of ROW quoting NODE, the value or an array element. */
 void fc_add_node_problem (fc_problems_t *problems, const fc_row_t *row, const char *key,
                           const fc_toml_t *node, const char *allowed);
 
--- a/packages/config/source/check-service.c
+++ b/packages/config/source/check-service.c
@@ -14,7 +14,7 @@
   g_free (key);
 }
 
-/* Stores the services named in LIST, an array, as SERVICE's dependencies. */
+/* Stores the services in array LIST as SERVICE's dependencies. */
 static void
 resolve_dependencies (const fc_checker_t *checker, size_t service, const fc_toml_t *list)
 {
--- a/packages/config/source/check-text.h
+++ b/packages/config/source/check-text.h
@@ -11,7 +11,7 @@
 /* Returns whether TEXT is a numeric IPv4 or IPv6 address. */
 bool fc_is_address (fb_str_t text);
 
-/* Returns whether TEXT is a valid value of FIELD, which has a string type. */
+/* Returns whether TEXT is valid for FIELD, which has a string type. */
 bool fc_is_valid_text (const fc_field_t *field, fb_str_t text);
 
 #endif
--- a/packages/config/source/checker.h
+++ b/packages/config/source/checker.h
@@ -1,4 +1,4 @@
-/* Functions of the document check; each adds its findings to the checker's problems. */
+/* Functions of the document check; each adds to the checker's problems. */
 #ifndef FOXTAILRUN_CONFIG_CHECK_PARTS_H
 #define FOXTAILRUN_CONFIG_CHECK_PARTS_H
 
@@ -16,17 +16,16 @@
 /* Returns the number of tables in [[SECTION]]. */
 size_t fc_count_rows (const fc_checker_t *checker, const char *section);
 
-/* Iterates over the tables of [[SECTION]]: *TABLE is NULL before the first call, and *INDEX is
- * the table's index. Checks each table into ROW; returns false after the last one. */
+/* Iterates over the tables of [[SECTION]], checking each into ROW; false after the last.
+ * *TABLE is NULL before the first call, *INDEX the table's index. */
 bool fc_next_row (const fc_checker_t *checker, const char *section, const fc_toml_t **table,
                   size_t *index, fc_row_t *row);
 
-/* Reports that the value at KEY of ROW is also that of element EARLIER of SECTION. */
+/* Reports that element EARLIER of SECTION has the same value at KEY as ROW. */
 void fc_report_duplicate (const fc_checker_t *checker, const fc_row_t *row, const char *key,
                           const char *section, size_t earlier);
 
-/* Returns the index of the reference at KEY of ROW in NAMES; reports an unknown name and
- * returns 0. */
+/* Returns the index in NAMES of the reference at KEY of ROW; 0 with a problem when unknown. */
 uint32_t fc_resolve_name (const fc_checker_t *checker, const fc_row_t *row, const char *key,
                           GHashTable *names);
 
@@ -36,21 +35,21 @@
 void fc_check_customers (fc_checker_t *checker);
 void fc_check_objectives (fc_checker_t *checker);
 
-/* Reports each dependency that closes a cycle between services; LINES holds the line of each
- * service's depends_on. */
+/* Reports each dependency that closes a cycle; LINES holds the line of each service's
+ * depends_on. */
 void fc_check_cycles (const fc_checker_t *checker, const uint32_t *lines);
 
 /* Checks the complete tree at the checker's root into its snapshot. */
 void fc_check_root (fc_checker_t *checker);
 
-/* Stores a reference to SECTIONS, with the element of each, in the checker's snapshot. The
- * check must have found no problems. With COMPARE, does nothing unless the lines of the tables
- * in the checker's tree are those of the sections. */
+/* Stores a reference to SECTIONS, with the element of each, in the checker's snapshot; the
+ * check must have found no problems. With COMPARE, only if the lines of the tree's tables
+ * are those of the sections. */
 void fc_record_sections (fc_checker_t *checker, GArray *sections, bool compare);
 
-/* Checks DOCUMENT, which consists of SECTIONS, and reuses the elements of BASE for sections
- * that BASE also has. Returns NULL when a full check is necessary: when BASE or SECTIONS is
- * NULL or has no sections, too much has changed, or there is any problem. */
+/* Checks DOCUMENT, made of SECTIONS, reusing the elements of BASE for equal sections.
+ * Returns NULL when a full check is necessary: BASE or SECTIONS is NULL or has no sections,
+ * too much has changed, or there is any problem. */
 fc_snapshot_t *fc_check_changed_sections (const fc_snapshot_t *base, fb_bytes_t document,
                                           GArray *sections);
 
--- a/packages/config/source/delta.c
+++ b/packages/config/source/delta.c
@@ -26,7 +26,7 @@
     ZSTD_CCtx_refPrefix (context, base.data, base.len);
   result = ZSTD_compress2 (context, frame, bound, document.data, document.len);
   ZSTD_freeCCtx (context);
-  /* The buffer has the size of the worst case, so that only invalid parameters can fail. */
+  /* The buffer fits the worst case: only invalid parameters can fail. */
   FB_INVARIANT (!ZSTD_isError (result));
   *length = result;
   return frame;
--- a/packages/config/source/file-read.c
+++ b/packages/config/source/file-read.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Reads until the end or until CAPACITY bytes; returns -1 with errno on an error. */
+/* Reads to the end or CAPACITY bytes; -1 with errno on an error. */
 static ssize_t
 read_all (int file, uint8_t *buffer, size_t capacity)
 {
--- a/packages/config/source/problem.c
+++ b/packages/config/source/problem.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <string.h>
 
-/* Bounds the memory use of a hostile document: 1 MB can have 250,000 unknown keys. */
+/* Bounds the memory of a hostile document: 1 MB can have 250,000 unknown keys. */
 #define PROBLEMS_MAX 1000
 
 struct fc_problems
@@ -34,7 +34,7 @@
   return order;
 }
 
-/* Inserts PROBLEM in sorted order, from the end, as problems are added nearly sorted. */
+/* Inserts PROBLEM sorted, from the end, as problems come nearly sorted. */
 static void
 insert_problem (fc_problems_t *problems, fc_problem_t *problem)
 {
@@ -63,8 +63,8 @@
   g_free (problems);
 }
 
-/* Copies TEXT as one line of valid UTF-8, so that the contents of a file cannot control the
- * terminal or make the JSON output invalid. */
+/* Copies TEXT as one line of valid UTF-8, so that a file cannot control the terminal or
+ * make the JSON output invalid. */
 static char *
 copy_printable (const char *text)
 {
--- a/packages/config/source/route-index.c
+++ b/packages/config/source/route-index.c
@@ -1,5 +1,5 @@
-/* A tree of path segments for each host, stored as one hash table from (parent, segment) to
- * node, so that a lookup costs one probe per segment of the request's path. */
+/* A tree of path segments per host, in one hash table from (parent, segment) to node: a
+ * lookup costs one probe per segment of the path. */
 #include "route-index.h"
 #include <foxtailrun/base/digest.h>
 #include <glib.h>
@@ -50,8 +50,8 @@
   return 0;
 }
 
-/* Stores the segment after the "/" at *OFFSET of PATH and advances *OFFSET behind it; returns
- * false at the end. */
+/* Stores the segment after the "/" at *OFFSET of PATH and advances *OFFSET; false at the
+ * end. */
 static bool
 next_segment (fb_str_t path, size_t *offset, fb_str_t *segment)
 {
@@ -161,8 +161,8 @@
   return true;
 }
 
-/* Returns the route at node NUMBER that matches, or NONE. When the path continues, a route with
- * BELOW has precedence, as its prefix is longer by the "/". */
+/* Returns the matching route at node NUMBER, or NONE. If the path continues, BELOW has
+ * precedence: its prefix is longer by the "/". */
 static uint32_t
 match_node (const fc_route_index_t *index, uint32_t number, fc_methods_t method_bit,
             bool continues)
--- a/packages/config/source/schema.c
+++ b/packages/config/source/schema.c
@@ -1,4 +1,4 @@
-/* Schemas of the configuration document and of the settings file. */
+/* Schemas of configuration document and settings file. */
 #include <foxtailrun/base/string.h>
 #include <foxtailrun/config/schema.h>
 #include <foxtailrun/config/settings.h>
--- a/packages/config/source/section.h
+++ b/packages/config/source/section.h
@@ -17,7 +17,7 @@
   FC_SECTION_OBJECTIVE
 } fc_section_kind_t;
 
-/* A table: its header line and all lines up to the next header. */
+/* A table: its header and all lines up to the next. */
 typedef struct
 {
   uint64_t hash;    /* xxHash64 of the text */
@@ -31,9 +31,9 @@
 /* Returns the name of KIND in a header, such as "rank"; static. */
 const char *fc_get_section_name (uint32_t kind);
 
-/* Splits TEXT, for which fc_scan_headers stored HEADERS. Returns the sections (fc_section_t),
- * to be released with g_array_unref, or NULL when HEADERS is not divisible or a header line is
- * anything but "[[kind]]", blanks and a comment. */
+/* Splits TEXT, for which fc_scan_headers stored HEADERS. Returns the sections
+ * (fc_section_t), to be released with g_array_unref, or NULL when HEADERS is not divisible
+ * or a header line is anything but "[[kind]]", blanks and a comment. */
 GArray *fc_split_sections (fb_str_t text, const fc_headers_t *headers);
 
 #endif
--- a/packages/config/source/snapshot-internal.h
+++ b/packages/config/source/snapshot-internal.h
@@ -1,4 +1,4 @@
-/* Structure of a snapshot, for the checker that creates it and the functions that read it. */
+/* Structure of a snapshot, for the checker that creates it and for readers. */
 #ifndef FOXTAILRUN_CONFIG_SNAPSHOT_PARTS_H
 #define FOXTAILRUN_CONFIG_SNAPSHOT_PARTS_H
 
@@ -32,16 +32,16 @@
   GArray *sections; /* fc_section_t, for fc_check_change; NULL when not divisible */
 };
 
-/* Creates a snapshot without elements, with one reference and a copy of DOCUMENT. */
+/* Creates an empty snapshot with one reference and a copy of DOCUMENT. */
 fc_snapshot_t *fc_create_snapshot (fb_bytes_t document);
 
 /* Creates a hash table from names, which are borrowed, to indexes. */
 GHashTable *fc_create_name_table (void);
 
-/* Adds NAME with INDEX. Returns false when NAME exists, with its index in *EARLIER. */
+/* Adds NAME with INDEX; false when NAME exists, with its index in *EARLIER. */
 bool fc_add_name (GHashTable *names, const fb_name_t *name, size_t index, size_t *earlier);
 
-/* Stores the index of the name TEXT in *INDEX; returns false when it does not exist. */
+/* Stores the index of name TEXT in *INDEX; false when unknown. */
 bool fc_find_name (GHashTable *names, fb_str_t text, size_t *index);
 
 #endif
--- a/packages/config/source/toml-scan.c
+++ b/packages/config/source/toml-scan.c
@@ -1,4 +1,4 @@
-/* Limits on TOML text, so that the parser runs in bounded time, memory and stack. */
+/* Limits on TOML text that bound the parser's time, memory and stack. */
 #include "toml-tree.h"
 #include <glib.h>
 #include <string.h>
@@ -6,10 +6,10 @@
 /* The parser recurses at each level; the schema has 3. */
 #define NESTING_LEVELS_MAX 16
 
-/* The parser scans the line once for each of its values, in quadratic time. */
+/* The parser scans a line once per value, in quadratic time. */
 #define LINE_MAX_BYTES 16384
 
-/* A value needs about 300 bytes during the parse; a document at its limits has 40,000. */
+/* A value needs about 300 bytes in the parse; a document at its limits has 40,000. */
 #define VALUES_MAX 100000
 
 typedef enum
@@ -57,7 +57,7 @@
     scan->state = triple ? LITERAL_LINES : LITERAL;
 }
 
-/* Records a table header when the bracket at the current offset starts one. */
+/* Records a table header if the current bracket starts one. */
 static void
 record_header (scan_t *scan)
 {
@@ -141,7 +141,7 @@
   if (c == quote && is_triple (scan, quote))
     {
       scan->offset += 2;
-      /* The string itself can end with one or two quotes, which are skipped here. */
+      /* The string can end with one or two quotes of its own, skipped here. */
       for (int i = 0; i < 2 && scan->offset + 1 < scan->text.len; i++)
         if (scan->text.data[scan->offset + 1] == quote)
           scan->offset++;
@@ -216,7 +216,7 @@
         scan_outside (&scan, c);
       else
         scan_string_or_comment (&scan, c);
-      /* Not C: the offset can have advanced over quotes or an escape. */
+      /* Not C: the offset can have passed quotes or an escape. */
       if (text.data[scan.offset] == '\n')
         {
           scan.line++;
--- a/packages/config/source/toml-subset.c
+++ b/packages/config/source/toml-subset.c
@@ -1,6 +1,6 @@
-/* Parser for a subset of TOML: lines of "key = value" and "[[name]]" headers. It takes a tenth
- * of the library's time, which is half a second on a starting host with a tenth of a core. All
- * other text, and every error, is left to the library. */
+/* Parser for a TOML subset: lines of "key = value" and "[[name]]" headers. It takes a tenth
+ * of the library's time, which is 0.5 s on a starting host with a tenth of a core. Other
+ * text and all errors are left to the library. */
 #include "toml-subset.h"
 #include <string.h>
 
@@ -93,8 +93,7 @@
   return order != 0 ? order : (a.len > b.len) - (a.len < b.len);
 }
 
-/* Inserts CHILD into TABLE sorted by key, as the library does; returns false when the key
- * exists. */
+/* Inserts CHILD into TABLE sorted by key, as the library does; false when the key exists. */
 static bool
 insert_child (fc_toml_t *table, fc_toml_t *child)
 {
@@ -203,7 +202,7 @@
   return parse_value (parser, node) && insert_child (parser->table, node);
 }
 
-/* Parses "[[name]]", which starts a new table in the list called "name". */
+/* Parses "[[name]]", which starts a table in list "name". */
 static bool
 parse_header (parser_t *parser, fc_toml_t **lists, fc_toml_t **last)
 {
--- a/packages/config/source/toml-tree.h
+++ b/packages/config/source/toml-tree.h
@@ -1,4 +1,4 @@
-/* A parsed TOML document as a tree of C structures; the interface to the C++ parser. */
+/* A parsed TOML document as a C tree; the interface to the C++ parser. */
 #ifndef FOXTAILRUN_CONFIG_TOML_TREE_H
 #define FOXTAILRUN_CONFIG_TOML_TREE_H
 
@@ -36,12 +36,11 @@
 
 typedef struct fc_toml_document fc_toml_document_t;
 
-/* Parses TEXT, which must outlive the result and have passed fc_scan_toml. Returns NULL with
- * the first syntax error added to PROBLEMS; throws no C++ exception. */
+/* Parses TEXT, which must outlive the result and have passed fc_scan_toml. NULL with the
+ * first syntax error added to PROBLEMS; throws no C++ exception. */
 fc_toml_document_t *fc_parse_toml (fb_str_t text, fc_problems_t *problems);
 
-/* Does the same with toml11 only, which fc_parse_toml uses for text that fc_parse_toml_subset
- * does not parse. */
+/* Same with toml11 only, which fc_parse_toml uses for text outside fc_parse_toml_subset. */
 fc_toml_document_t *fc_parse_toml_library (fb_str_t text, fc_problems_t *problems);
 
 /* Returns the top-level table. */
@@ -50,12 +49,11 @@
 /* Frees the document; NULL is allowed. */
 void fc_destroy_toml (fc_toml_document_t *document);
 
-/* Adds a problem to PROBLEMS and returns false when TEXT is not UTF-8, or when its nesting,
- * line length or number of values could make the parser exhaust the stack or memory or take
- * quadratic time. */
+/* Returns false with a problem added when TEXT is not UTF-8, or its nesting, line length or
+ * number of values could exhaust the parser's stack or memory or take quadratic time. */
 bool fc_scan_toml (fb_str_t text, fc_problems_t *problems);
 
-/* A line that starts with "[" outside of strings, comments and arrays. */
+/* A line starting with "[" outside strings, comments and arrays. */
 typedef struct
 {
   uint32_t offset; /* of the line, in bytes */
@@ -65,12 +63,12 @@
 typedef struct
 {
   GArray *items;  /* fc_header_t, created by the caller */
-  bool divisible; /* false when the text has a multi-line string, a carriage return or an
-                   * indented header and thus cannot be split at the headers */
+  bool divisible; /* false when a multi-line string, carriage return or indented header
+                   * prevents splitting at headers */
 } fc_headers_t;
 
-/* Does the same as fc_scan_toml and appends the table headers of TEXT, less than 4 GB, to
- * HEADERS, which may be NULL. */
+/* As fc_scan_toml; appends the table headers of TEXT, less than 4 GB, to HEADERS, which may
+ * be NULL. */
 bool fc_scan_headers (fb_str_t text, fc_problems_t *problems, fc_headers_t *headers);
 
 #endif
--- a/packages/config/tests/fixture-check.h
+++ b/packages/config/tests/fixture-check.h
@@ -17,8 +17,8 @@
 /* Returns TEXT without its NUL as bytes, borrowed. */
 fb_bytes_t wrap_bytes (const char *text);
 
-/* Checks TEXT and stores the problems as lines in *MESSAGES, which the caller frees with
- * g_free. Returns NULL when there are problems. */
+/* Checks TEXT and stores the problems as lines in *MESSAGES; free with g_free. Returns NULL
+ * when there are problems. */
 fc_snapshot_t *check_text (const char *text, char **messages);
 
 /* Returns the snapshot of TEXT, which must be valid. */
--- a/packages/config/tests/test-change.c
+++ b/packages/config/tests/test-change.c
@@ -1,4 +1,4 @@
-/* The check of a changed document based on an earlier snapshot. */
+/* Check of a changed document based on an earlier snapshot. */
 #include "checker.h"
 #include "fixture-check.h"
 #include <string.h>
@@ -132,7 +132,7 @@
     g_string_assign (text, "version = 1\n");
 }
 
-/* Returns the results of the public functions for SNAPSHOT as text; free with g_free. */
+/* Returns the public functions' results for SNAPSHOT as text; free with g_free. */
 static char *
 describe_snapshot (const fc_snapshot_t *snapshot)
 {
@@ -215,8 +215,8 @@
   return snapshot != NULL;
 }
 
-/* Asserts that the check of TEXT based on BASE equals the full check. Releases BASE and returns
- * the new snapshot, or NULL when TEXT is invalid. */
+/* Asserts that the check of TEXT based on BASE equals the full check. Releases BASE;
+ * returns the new snapshot, NULL when TEXT is invalid. */
 static fc_snapshot_t *
 compare_checks (fc_snapshot_t *base, const char *text)
 {
@@ -245,8 +245,8 @@
   return changed;
 }
 
-/* Guards against a check based on an earlier snapshot whose result, problems or snapshot differ
- * from those of the full check, after one or more changes in a row. */
+/* Guards against a check based on an earlier snapshot that differs from the full check in
+ * result, problems or snapshot, after one or more changes. */
 static void
 test_random_changes (void)
 {
@@ -282,7 +282,7 @@
       g_string_free (text, TRUE);
     }
   g_test_message ("%zu accepted, %zu by sections", accepted, by_sections_count);
-  /* The comparison needs enough valid and invalid texts and enough checks of both kinds. */
+  /* The comparison needs enough valid and invalid texts and checks of both kinds. */
   g_assert_cmpuint (accepted, >, CHANGES / 10);
   g_assert_cmpuint (accepted, <, CHANGES * 9 / 10);
   g_assert_cmpuint (by_sections_count, >, CHANGES / 10);
@@ -301,8 +301,8 @@
   return g_strdup_printf ("%.*s%s%s", (int)(at - base_text), base_text, to, at + strlen (from));
 }
 
-/* Guards against reusing sections of a text whose sections have another meaning when parsed
- * separately, and against a full check of every text. */
+/* Guards against reusing sections that mean something else when parsed separately, and
+ * against a full check of every text. */
 static void
 test_method (void)
 {
--- a/packages/config/tests/test-delta.c
+++ b/packages/config/tests/test-delta.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <zstd.h>
 
-/* Returns SIZE random printable bytes, which hardly compress; free with g_free. */
+/* Returns SIZE random printable bytes that hardly compress; free with g_free. */
 static uint8_t *
 make_incompressible (size_t size, guint32 seed)
 {
@@ -35,8 +35,8 @@
   g_free (frame);
 }
 
-/* Guards against documents that are not restored exactly, and against a frame of more than 1 KB
- * for a small change to a document of 1 MB because the window does not cover the prefix. */
+/* Guards against documents not restored exactly, and a frame over 1 KB for a small change
+ * to a 1 MB document because the window does not cover the prefix. */
 static void
 test_round_trips (void)
 {
@@ -60,7 +60,7 @@
   g_free (original);
 }
 
-/* Guards against a corrupted frame that is decoded to another document. */
+/* Guards against a corrupted frame decoded to another document. */
 static void
 test_corruption (void)
 {
@@ -96,7 +96,7 @@
   g_free (frame);
 }
 
-/* Guards against a document decoded with a base other than the one it was encoded with. */
+/* Guards against decoding with another base than that of the encoding. */
 static void
 test_wrong_base (void)
 {
@@ -122,8 +122,7 @@
   g_free (other);
 }
 
-/* Guards against a small frame whose document exceeds the limit, and against one without a
- * size. */
+/* Guards against a small frame whose document exceeds the limit, and one without a size. */
 static void
 test_oversized (void)
 {
@@ -165,7 +164,7 @@
 static void
 test_malformed_frame (void)
 {
-  /* A skippable frame of 0 bytes, which zstd ignores after another frame. */
+  /* Skippable frame of 0 bytes, which zstd ignores after another. */
   static const uint8_t skippable[] = { 0x50, 0x2a, 0x4d, 0x18, 0, 0, 0, 0 };
   static const char *const cases[] = { "", "x", "\x28\xb5\x2f\xfd", "version = 1\n" };
   uint8_t *restored;
--- a/packages/config/tests/test-document.c
+++ b/packages/config/tests/test-document.c
@@ -1,4 +1,4 @@
-/* Check of configuration documents: problems of invalid ones, snapshots of valid ones. */
+/* Check of configuration documents: problems and snapshots. */
 #include "fixture-check.h"
 #include <glib.h>
 #include <string.h>
@@ -200,7 +200,7 @@
     "f:3: syntax: found '[[rank]]', allowed: valid TOML (array of table (\"rank\") collides with existing value)\n" },
 };
 
-/* Guards against accepting an invalid document, and against a problem without line, key, found
+/* Guards against accepting an invalid document, and a problem without line, key, found
  * value or allowed values. */
 static void
 test_invalid (gconstpointer data)
@@ -213,7 +213,7 @@
   g_free (messages);
 }
 
-/* Guards against wrong values, defaults or order of ranks in a snapshot. */
+/* Guards against wrong values, defaults or rank order. */
 static void
 test_valid (void)
 {
@@ -258,7 +258,7 @@
   fc_release_snapshot (snapshot);
 }
 
-/* Guards against a snapshot that refers to the memory of the document passed in. */
+/* Guards against a snapshot that refers to the passed document's memory. */
 static void
 test_copy (void)
 {
@@ -294,7 +294,7 @@
 }
 
 /* Guards against accepting documents over the limits, which would exhaust time, memory or
- * stack, and against rejecting documents at the limits. */
+ * stack, and rejecting those at the limits. */
 static void
 test_limits (void)
 {
@@ -350,7 +350,7 @@
     }
 }
 
-/* Guards against an unbounded number of problems, and against problems not sorted by line. */
+/* Guards against unbounded problems, and problems not sorted by line. */
 static void
 test_many_problems (void)
 {
@@ -368,7 +368,7 @@
   g_free (document);
 }
 
-/* Guards against recursion along a chain of dependencies of 1,000 services. */
+/* Guards against recursion along a dependency chain of 1,000 services. */
 static void
 test_long_cycle (void)
 {
@@ -381,7 +381,7 @@
 
   for (size_t i = 0; parts[i]; i++)
     {
-      /* Each service depends on the next one; the last one closes the cycle. */
+      /* Each service depends on the next; the last closes the cycle. */
       char *quote = parts[i + 1] ? strrchr (parts[i], '"') : NULL;
 
       if (quote)
--- a/packages/config/tests/test-random.c
+++ b/packages/config/tests/test-random.c
@@ -16,7 +16,7 @@
   return (size_t)g_rand_int_range (random, 0, (gint32)bound);
 }
 
-/* Changes a byte of TEXT, inserts one of PIECES, or removes or repeats a range. */
+/* Changes a byte of TEXT, inserts a piece, or removes or repeats a range. */
 static void
 change_text (GString *text, GRand *random)
 {
@@ -45,8 +45,8 @@
   g_free (range);
 }
 
-/* Guards against a document that crashes the checker, is rejected without a problem, or gives a
- * snapshot with an invalid index. */
+/* Guards against a document that crashes the checker, is rejected without a problem, or
+ * gives a snapshot with an invalid index. */
 static void
 test_documents (void)
 {
@@ -110,7 +110,7 @@
   g_rand_free (random);
 }
 
-/* Guards against a delta between two versions that is decoded to another document. */
+/* Guards against a delta decoded to another document. */
 static void
 test_deltas (void)
 {
--- a/packages/config/tests/test-route.c
+++ b/packages/config/tests/test-route.c
@@ -12,8 +12,8 @@
       "[[route]]\nname = \"a-b-post\"\npath = \"/a/b\"\nmethods = [\"POST\"]\n" ROUTE_TARGET
       "[[route]]\nname = \"deep\"\npath = \"/x/y/z\"\n" ROUTE_TARGET;
 
-/* Guards against a prefix that matches part of a segment, a shorter prefix with precedence over
- * a longer one, a method that is ignored, and a query that is matched. */
+/* Guards against matching part of a segment, precedence of a shorter prefix, an ignored
+ * method, and a matched query. */
 static void
 test_lookup (void)
 {
@@ -62,9 +62,8 @@
   fc_release_snapshot (snapshot);
 }
 
-/* Guards against matching a route of another host, a route with "below" matching the prefix
- * alone, and a route without a host not matching when the host has only routes of other
- * paths. */
+/* Guards against matching another host's route, "below" matching the prefix alone, and a
+ * route without a host not matching when the host has only routes of other paths. */
 static void
 test_lookup_host (void)
 {
@@ -100,7 +99,7 @@
   fc_release_snapshot (snapshot);
 }
 
-/* Guards against reading beyond the end of the path or the method. */
+/* Guards against reading beyond path or method. */
 static void
 test_lookup_length (void)
 {
@@ -156,7 +155,7 @@
   return g_string_free (path, FALSE);
 }
 
-/* Guards against an index whose result differs from the reference implementation's. */
+/* Guards against results that differ from the reference implementation's. */
 static void
 test_random_tables (void)
 {
--- a/packages/config/tests/test-settings.c
+++ b/packages/config/tests/test-settings.c
@@ -91,8 +91,8 @@
     "f:5: syntax: found '[', allowed: valid TOML (an invalid key appeared)\n" },
 };
 
-/* Guards against accepting invalid settings, and against a problem without line, key, found
- * value or allowed values. */
+/* Guards against accepting invalid settings, and a problem without line, key, found value
+ * or allowed values. */
 static void
 test_invalid (gconstpointer data)
 {
@@ -197,7 +197,7 @@
     }
 }
 
-/* Guards against truncating a file over the limit, and against errors without a problem. */
+/* Guards against truncating a file over the limit, and errors without a problem. */
 static void
 test_read_file (void)
 {
--- a/packages/config/tests/test-subset.c
+++ b/packages/config/tests/test-subset.c
@@ -12,8 +12,8 @@
   return node;
 }
 
-/* Appends the contents of NODE and its children to TEXT. The source of tables and their lists
- * is omitted: the library's is only a part of the header. */
+/* Appends NODE and its children to TEXT, without the source of tables and their lists: the
+ * library's is only a part of the header. */
 static void
 describe_node (GString *text, const fc_toml_t *node)
 {
@@ -34,8 +34,8 @@
   g_string_append_c (text, ')');
 }
 
-/* Guards against text for which the two parsers return different trees, and against accepting
- * text that is invalid or outside of the subset. */
+/* Guards against different trees from the two parsers, and accepting text that is invalid
+ * or outside the subset. */
 static void
 test_same_tree (void)
 {
--- a/packages/http/include/foxtailrun/http/client.h
+++ b/packages/http/include/foxtailrun/http/client.h
@@ -1,12 +1,11 @@
-/* HTTP/1.1 client on the kernel's loop for one server, with connection reuse. Requests and
- * responses are buffered in memory; there is no streaming. */
+/* HTTP/1.1 client for one server on the kernel's loop, with connection reuse. Messages are
+ * buffered in memory, without streaming. */
 #ifndef FOXTAILRUN_HTTP_CLIENT_H
 #define FOXTAILRUN_HTTP_CLIENT_H
 
 #include "message.h"
 #include <foxtailrun/kernel/kernel.h>
 
-/* Outcome of an exchange. */
 typedef enum
 {
   FH_ANSWERED,  /* a complete response was received */
@@ -25,8 +24,8 @@
                                  client writes its own */
   fb_bytes_t body;
   fb_str_t host; /* value of the host header; if empty, the server's address and port */
-  /* Header that the server repeats in its response; a response with another value belongs to
-   * another request and is dropped. Not checked if the name is empty. */
+  /* Header that the server repeats; a response with another value belongs to another
+   * request and is dropped. Not checked if the name is empty. */
   fh_header_t echoed_header;
   bool new_connection; /* do not reuse an idle connection; if the server closes it as the
                           request is sent, it is unknown whether the request was run */
@@ -53,8 +52,8 @@
 typedef void (*fh_done_fn_t) (const fh_response_t *response, void *user);
 
 /* Creates a client for one server that keeps at most IDLE_MAX idle connections and accepts
- * response bodies of at most BODY_MAX bytes. IO_TIMEOUT in ns limits connecting and each wait
- * for data. */
+ * bodies of at most BODY_MAX bytes. IO_TIMEOUT in ns limits connecting and each wait for data.
+ */
 fh_client_t *fh_create_client (fk_kernel_t *kernel, const fb_name_t *address, uint16_t port,
                                size_t idle_max, size_t body_max, fb_time_t io_timeout);
 
@@ -64,17 +63,16 @@
 /* Closes all idle connections. */
 void fh_close_idle (fh_client_t *client);
 
-/* Cancels all exchanges without calling their callbacks and frees the client; NULL is
- * allowed. */
+/* Cancels all exchanges without callbacks and frees the client; NULL is allowed. */
 void fh_destroy_client (fh_client_t *client);
 
-/* Copies REQUEST and sends it. DONE is called once from the loop, never from within this call,
- * unless the exchange is cancelled first; the exchange is freed after it. */
+/* Copies and sends REQUEST. DONE is called once from the loop, never within this call,
+ * unless cancelled first; the exchange is freed after it. */
 fh_exchange_t *fh_send_request (fh_client_t *client, const fh_client_request_t *request,
                                 fh_done_fn_t done, void *user);
 
-/* Closes the connection of EXCHANGE and frees EXCHANGE without calling its callback. Returns
- * whether the request may have been sent. */
+/* Closes EXCHANGE's connection and frees EXCHANGE without its callback. Returns whether the
+ * request may have been sent. */
 bool fh_cancel_exchange (fh_exchange_t *exchange);
 
 #endif
--- a/packages/http/include/foxtailrun/http/message.h
+++ b/packages/http/include/foxtailrun/http/message.h
@@ -4,7 +4,7 @@
 
 #include <foxtailrun/base/string.h>
 
-/* Maximum number of headers in a message; a message with more is rejected. */
+/* Maximum headers of a message; one with more is rejected. */
 #define FH_HEADERS_MAX 64
 
 /* One header; the name is in lower case. */
@@ -14,11 +14,11 @@
   fb_str_t value;
 } fh_header_t;
 
-/* Returns the value of the first header NAME in HEADERS, or an empty string with NULL data. */
+/* Returns the first header NAME's value, or an empty string with NULL data. */
 fb_str_t fh_find_header (const fh_header_t *headers, size_t count, fb_str_t name);
 
-/* Returns whether header NAME is hop-by-hop or is generated for each connection (such as host
- * and content-length), so that it must not be forwarded. */
+/* Returns whether header NAME must not be forwarded: hop-by-hop or generated per connection
+ * (such as host and content-length). */
 bool fh_is_hop_header (fb_str_t name);
 
 #endif
--- a/packages/http/include/foxtailrun/http/server.h
+++ b/packages/http/include/foxtailrun/http/server.h
@@ -1,5 +1,4 @@
-/* HTTP server on the kernel's loop. Requests and responses are buffered in memory; there is no
- * streaming. */
+/* HTTP server on the kernel's loop, without streaming: messages are buffered in memory. */
 #ifndef FOXTAILRUN_HTTP_SERVER_H
 #define FOXTAILRUN_HTTP_SERVER_H
 
@@ -9,52 +8,50 @@
 typedef struct fh_server fh_server_t;
 typedef struct fh_request fh_request_t;
 
-/* Handles REQUEST and takes ownership of it; it must be answered exactly once by fh_respond or
- * fh_respond_close_delimited, also after it was cancelled. */
+/* Takes ownership of REQUEST; answer it exactly once by fh_respond or
+ * fh_respond_close_delimited, also after cancellation. */
 typedef void (*fh_handler_fn_t) (fh_request_t *request, void *user);
 
-/* Called when the caller has closed its connection; REQUEST must still be answered, which frees
+/* Called when the caller closed its connection; REQUEST must still be answered, which frees
  * it. */
 typedef void (*fh_cancelled_fn_t) (fh_request_t *request, void *user);
 
-/* Listens on ADDRESS and PORT for requests with bodies of at most BODY_MAX bytes. On failure,
- * logs the error and returns NULL. */
+/* Listens for requests with bodies of at most BODY_MAX bytes. On failure, logs the error
+ * and returns NULL. */
 fh_server_t *fh_create_server (fk_kernel_t *kernel, const fb_name_t *address, uint16_t port,
                                size_t body_max, fh_handler_fn_t handler, void *user);
 
 /* Stops accepting connections and closes idle ones; requests in flight are completed. */
 void fh_stop_accepting (fh_server_t *server);
 
-/* Sets the time limit in ns for receiving a request; it also limits how long a connection may
- * stay idle. */
+/* Sets the time limit in ns for receiving a request and for idle connections. */
 void fh_set_idle_timeout (fh_server_t *server, fb_time_t timeout);
 
 /* Returns the number of requests not yet answered. */
 size_t fh_count_requests (const fh_server_t *server);
 
-/* Frees the server, whose handles must be closed already: call it after the loop has ended.
- * NULL is allowed. */
+/* Frees the server; its handles must be closed: call after the loop has ended. NULL is
+ * allowed. */
 void fh_destroy_server (fh_server_t *server);
 
-/* Return views of the request, valid until it is answered; they are empty once its connection
- * is closed. */
+/* Return views of the request, valid until it is answered; empty once its connection is
+ * closed. */
 fb_str_t fh_get_method (const fh_request_t *request);
 fb_str_t fh_get_path (const fh_request_t *request);
 fb_str_t fh_get_host (const fh_request_t *request);
 fb_bytes_t fh_get_body (const fh_request_t *request);
 size_t fh_get_headers (const fh_request_t *request, const fh_header_t **headers);
 
-/* Sets the callback for a caller that closes its connection before the response; it is called
- * at most once. */
+/* Sets the callback, called at most once, for a caller that closes before the response. */
 void fh_set_cancelled_handler (fh_request_t *request, fh_cancelled_fn_t cancelled, void *user);
 
-/* Sends a copy of the response and frees REQUEST. Hop-by-hop headers, content-length, server
- * and date in HEADERS are skipped; the server sets those that the response needs. */
+/* Sends a copy of the response and frees REQUEST. Skips hop-by-hop headers, content-length,
+ * server and date in HEADERS; the server sets those needed. */
 void fh_respond (fh_request_t *request, uint32_t status, const fh_header_t *headers,
                  size_t count, fb_bytes_t body);
 
-/* As fh_respond, for a body that may be incomplete: it is sent without a length and ends with
- * the connection. */
+/* As fh_respond, for a body that may be incomplete: sent without a length, ends with the
+ * connection. */
 void fh_respond_close_delimited (fh_request_t *request, uint32_t status,
                                  const fh_header_t *headers, size_t count, fb_bytes_t body);
 
--- a/packages/http/source/http-client.c
+++ b/packages/http/source/http-client.c
@@ -8,16 +8,16 @@
 /* Shorter than the idle timeout of common servers, so that the client closes first. */
 #define IDLE_TIMEOUT_MS 4000
 
-/* Fraction of the idle timeout announced by the server after which the client closes the
- * connection; the margin keeps requests off a connection that the server is closing. */
+/* Fraction of the server's announced idle timeout after which the client closes; the margin
+ * keeps requests off a connection that the server is closing. */
 #define KEEP_ALIVE_FRACTION 0.8
 
-/* TCP keep-alive probes: a server that stops responding is detected within 3 s. */
+/* TCP keep-alive probes: detect an unresponsive server within 3 s. */
 #define PROBE_IDLE_S 1
 #define PROBE_INTERVAL_S 1
 #define PROBE_COUNT 2
 
-/* The connection is closed when sent bytes stay unacknowledged for this long. */
+/* Close when sent bytes stay unacknowledged for this long. */
 #define USER_TIMEOUT_MS 3000
 
 typedef struct connection connection_t;
@@ -123,8 +123,8 @@
   free_exchange (exchange);
 }
 
-/* Closes CONNECTION and fails its exchange, if any. A repeatable request that was sent on a
- * reused connection is sent again instead if the server closed it without a response. */
+/* Closes CONNECTION and fails its exchange, if any. A repeatable request on a reused
+ * connection is sent again instead if the server closed it without a response. */
 static void
 fail_connection (connection_t *connection, fh_result_t result, const char *error)
 {
@@ -153,7 +153,7 @@
     fail_connection (connection, FH_TRUNCATED, "response went silent");
   else
     {
-      /* After a timeout the server may still be running the request: do not send it again. */
+      /* After a timeout the server may still run the request: do not resend. */
       connection->reused = false;
       fail_connection (connection, FH_NO_ANSWER, "no response within the limit");
     }
@@ -165,8 +165,8 @@
   uv_timer_start (&connection->timer, expire_connection, timeout_ms, 0);
 }
 
-/* Returns the time in ms for which the connection may stay idle, from the header
- * "Keep-Alive: timeout=SECONDS" of RESPONSE and IDLE_TIMEOUT_MS. */
+/* Returns the allowed idle time in ms, from RESPONSE's "Keep-Alive: timeout=SECONDS" and
+ * IDLE_TIMEOUT_MS. */
 static uint64_t
 parse_idle_timeout (const fh_response_t *response)
 {
@@ -183,7 +183,7 @@
   return timeout_ms;
 }
 
-/* Makes CONNECTION available for reuse, or closes it if enough idle connections exist. */
+/* Makes CONNECTION available for reuse, or closes it if enough are idle. */
 static void
 release_connection (connection_t *connection)
 {
@@ -201,8 +201,8 @@
   start_timer (connection, connection->idle_timeout_ms);
 }
 
-/* Returns whether RESPONSE belongs to the request of EXCHANGE. A response without the echoed
- * header is accepted only as the first response on a connection. */
+/* Returns whether RESPONSE belongs to EXCHANGE. Without the echoed header, only the first
+ * response on a connection is accepted. */
 static bool
 is_matching_response (const fh_exchange_t *exchange, const fh_response_t *response)
 {
@@ -228,7 +228,7 @@
   connection->idle_timeout_ms = parse_idle_timeout (&response);
   reusable = reusable && connection->pending_writes == 0 && !connection->out_of_sync
              && fh_should_keep_alive (connection->reader);
-  /* The response views the reader's memory: reset the reader only after the callback. */
+  /* The response views the reader's memory: reset only after the callback. */
   connection->exchange = NULL;
   exchange->connection = NULL;
   finish_exchange (exchange, &response);
@@ -325,8 +325,8 @@
   g_free (write);
 }
 
-/* Writes the request. Write errors are ignored: they also end the stream, and a response that
- * the server sent before can still be read. */
+/* Write errors are ignored: they also end the stream, and a response sent before can still
+ * be read. */
 static void
 write_request (connection_t *connection)
 {
@@ -352,8 +352,8 @@
   setsockopt (descriptor, level, option, &value, sizeof value);
 }
 
-/* Makes the operating system close the connection when the server no longer acknowledges data.
- * Errors are ignored: on systems without these options the exchanges still time out. */
+/* Makes the OS close the connection when data stays unacknowledged. Errors are ignored:
+ * without these options exchanges still time out. */
 static void
 detect_dead_peer (connection_t *connection)
 {
@@ -404,8 +404,8 @@
   connection->timer.data = connection;
   connection->connect_request.data = connection;
   exchange->connection = connection;
-  /* If connecting fails at once, the timer reports it: the callback must not be called from
-   * within fh_send_request. */
+  /* The timer reports an immediate failure: the callback must not run within
+   * fh_send_request. */
   if (uv_tcp_connect (&connection->connect_request, &connection->stream,
                       (const struct sockaddr *)&client->server_address, complete_connect)
       != 0)
--- a/packages/http/source/http-response.c
+++ b/packages/http/source/http-response.c
@@ -2,7 +2,7 @@
 #include <glib.h>
 #include <http_parser.h>
 
-/* Maximum size of header names and values of a response, in bytes. */
+/* Maximum bytes of header names and values of a response. */
 #define HEADER_BYTES_MAX (64 * 1024)
 
 /* Offsets of a header's name and value in the header text. */
@@ -44,7 +44,7 @@
   return 0;
 }
 
-/* Makes http_parser fail because a size limit is exceeded. */
+/* Makes http_parser fail for an exceeded size limit. */
 static int
 reject_too_large (fh_reader_t *reader)
 {
--- a/packages/http/source/http-response.h
+++ b/packages/http/source/http-response.h
@@ -6,10 +6,10 @@
 
 typedef enum
 {
-  FH_READ_INCOMPLETE, /* more bytes are needed */
-  FH_READ_COMPLETE,   /* the response is complete */
-  FH_READ_INVALID,    /* the bytes are not a valid response */
-  FH_READ_TOO_LARGE   /* the headers or the body exceed a limit */
+  FH_READ_INCOMPLETE,
+  FH_READ_COMPLETE,
+  FH_READ_INVALID,  /* the bytes are not a valid response */
+  FH_READ_TOO_LARGE /* the headers or the body exceed a limit */
 } fh_read_result_t;
 
 typedef struct fh_reader fh_reader_t;
@@ -23,14 +23,14 @@
 /* Prepares for the next response; IS_HEAD if it answers a HEAD request. */
 void fh_reset_reader (fh_reader_t *reader, bool is_head);
 
-/* Parses BYTES. With FH_READ_COMPLETE, sets *CONSUMED to the number of bytes that belong to the
- * response. Informational (1xx) responses are skipped. */
+/* Parses BYTES. With FH_READ_COMPLETE, sets *CONSUMED to the response's bytes. Skips
+ * informational (1xx) responses. */
 fh_read_result_t fh_parse_bytes (fh_reader_t *reader, fb_bytes_t bytes, size_t *consumed);
 
-/* Handles the end of the stream (EOF): FH_READ_COMPLETE if the body is close-delimited. */
+/* Handles EOF: FH_READ_COMPLETE if the body is close-delimited. */
 fh_read_result_t fh_parse_end (fh_reader_t *reader);
 
-/* Returns whether any bytes have been received since the last reset. */
+/* Returns whether bytes were received since the last reset. */
 bool fh_has_received_bytes (const fh_reader_t *reader);
 
 /* Returns whether the header section is complete. */
@@ -39,7 +39,7 @@
 /* Returns whether the server keeps the connection open after this response. */
 bool fh_should_keep_alive (const fh_reader_t *reader);
 
-/* Sets status, headers, body and close_delimited of RESPONSE. The views are valid until the
+/* Sets status, headers, body and close_delimited of RESPONSE; views are valid until the
  * next reset. */
 void fh_view_response (fh_reader_t *reader, fh_response_t *response);
 
--- a/packages/http/source/http-server.c
+++ b/packages/http/source/http-server.c
@@ -5,13 +5,13 @@
 #include <h2o/http2.h>
 #include <sys/socket.h>
 
-/* Default time limit for receiving a complete request; slower callers are disconnected. */
+/* Default time to receive a complete request; slower callers are disconnected. */
 #define REQUEST_TIMEOUT_MS 10000
 
 #define LISTEN_BACKLOG 1024
 
-/* Interval of the check for disconnected callers. h2o does not detect them, because it does not
- * read from an HTTP/1 connection while a request on it is unanswered. */
+/* Interval of the check for disconnected callers. h2o does not detect them: it does not read
+ * from an HTTP/1 connection while a request on it is unanswered. */
 #define DISCONNECT_CHECK_INTERVAL_MS 50
 
 #define CANCELLATIONS_PER_CHECK_MAX 32
@@ -58,7 +58,7 @@
   fh_server_t *server;
 } handler_t;
 
-/* Notifies the owner of REQUEST, at most once, that the caller has disconnected. */
+/* Notifies REQUEST's owner, at most once, that the caller disconnected. */
 static void
 notify_cancelled (fh_request_t *request)
 {
@@ -103,8 +103,7 @@
   return NULL;
 }
 
-/* The owner's callback may answer other requests as well, so each search starts at the head of
- * the list. */
+/* The owner's callback may answer other requests, so each search starts at the head. */
 static void
 check_disconnected (uv_timer_t *timer)
 {
@@ -131,7 +130,7 @@
                               0);
       return 0;
     }
-  /* After a stall of the process, the caller may have disconnected already. */
+  /* After a stall the caller may have disconnected already. */
   if (is_caller_disconnected (req))
     {
       fb_add_counter (server->closed_before_read, 1);
@@ -200,8 +199,8 @@
     }
 }
 
-/* The handle is the first member, so that a pointer to it converts to the connection; its data
- * pointer is overwritten by h2o. */
+/* The handle comes first, so that its pointer converts to the connection; h2o overwrites
+ * its data pointer. */
 typedef struct
 {
   uv_tcp_t handle;
--- a/packages/http/tests/test-http.c
+++ b/packages/http/tests/test-http.c
@@ -1,4 +1,4 @@
-/* Tests the HTTP client against the HTTP server and against raw responses on a socket. */
+/* Tests the HTTP client against the HTTP server and raw socket responses. */
 #include <foxtailrun/http/client.h>
 #include <foxtailrun/http/server.h>
 #include <glib.h>
@@ -70,7 +70,7 @@
   fh_respond (request, 200, headers, G_N_ELEMENTS (headers), body);
 }
 
-/* Creates a client and, unless raw_response is set, a server for a free port. */
+/* Creates a client and, unless raw_response is set, a server on a free port. */
 static void
 set_up (fixture_t *fixture)
 {
@@ -137,7 +137,7 @@
   return fh_send_request (fixture->client, &request, store_response, fixture);
 }
 
-/* Guards against bodies that are altered, lost or accepted although they exceed the limit. */
+/* Guards against bodies altered, lost, or accepted above the limit. */
 static void
 test_bodies (void)
 {
@@ -211,7 +211,7 @@
   *buffer = uv_buf_init (bytes, sizeof bytes);
 }
 
-/* Starts the raw response when the first bytes of a request arrive. */
+/* Starts the raw response at a request's first bytes. */
 static void
 send_raw_response (uv_stream_t *stream, ssize_t length, const uv_buf_t *buffer)
 {
@@ -233,7 +233,7 @@
   uv_read_start ((uv_stream_t *)&raw->stream, allocate_buffer, send_raw_response);
 }
 
-/* Guards against a truncated response that is accepted as complete. */
+/* Guards against accepting a truncated response as complete. */
 static void
 test_truncated_responses (void)
 {
@@ -292,7 +292,7 @@
     }
 }
 
-/* Guards against a request that is reported as sent although nothing listens. */
+/* Guards against reporting a request as sent although nothing listens. */
 static void
 test_not_sent (void)
 {
@@ -305,7 +305,7 @@
   tear_down (&fixture);
 }
 
-/* Guards against a response that is written to a connection that the caller has closed. */
+/* Guards against writing a response to a connection closed by the caller. */
 static void
 test_cancel (void)
 {
@@ -325,8 +325,8 @@
   tear_down (&fixture);
 }
 
-/* Guards against passing a request to the handler although its caller disconnected before it
- * was read, as happens after a stall of the process. */
+/* Guards against handling a request whose caller disconnected before it was read, as after
+ * a stall. */
 static void
 test_closed_before_read (void)
 {
