--- a/packages/call/include/foxtailrun/call/admission.h
+++ b/packages/call/include/foxtailrun/call/admission.h
@@ -16,8 +16,7 @@
   FR_REFUSED_CANCELLED   /* the caller cancelled it before it started */
 } fr_refusal_t;
 
-/* How free slots are assigned. Nodes use FR_POLICY_SHARES; the others are baselines for
- * comparison. */
+/* Nodes use FR_POLICY_SHARES; the others are baselines for comparison. */
 typedef enum
 {
   FR_POLICY_SHARES,
@@ -43,8 +42,8 @@
   void *user;
 } fr_admission_hooks_t;
 
-/* Hooks may call all functions of admission except fr_destroy_admission; hooks that become due
- * meanwhile are called after the current one has returned. */
+/* Hooks may call all functions of admission except fr_destroy_admission; those due
+ * meanwhile are called after the current one returns. */
 
 typedef struct fr_admission fr_admission_t;
 
@@ -55,7 +54,7 @@
                                      const fb_clock_t *clock, fb_counters_t *counters,
                                      const fr_admission_hooks_t *hooks);
 
-/* Frees ADMISSION; waiting calls are dropped without a hook. NULL is allowed. */
+/* Frees ADMISSION, dropping waiting calls without a hook; may be NULL. */
 void fr_destroy_admission (fr_admission_t *admission);
 
 /* Applies a changed configuration with at least 1 slot and 1 rank. Waiting calls are kept;
@@ -90,11 +89,11 @@
  * unknown. */
 bool fr_cancel_call (fr_admission_t *admission, uint64_t id);
 
-/* Refuses waiting calls that can no longer meet their deadline or target time; to be called
- * about every 10 ms. */
+/* Refuses waiting calls that can no longer meet their deadline or target time; call about
+ * every 10 ms. */
 void fr_tick_admission (fr_admission_t *admission);
 
-/* Refuses all new calls from now on; waiting and started calls continue. */
+/* Refuses new calls from now on; waiting and started ones continue. */
 void fr_drain_admission (fr_admission_t *admission);
 
 /* Returns slots in use plus calls waiting, per 1,000 slots. */
@@ -103,7 +102,7 @@
 /* Returns the expected wait in ns of a new call of RANK. */
 fb_time_t fr_get_expected_wait (const fr_admission_t *admission, uint32_t rank);
 
-/* Return the number of calls that are started and not finished, and of those waiting. */
+/* Return the number of unfinished started calls, and of waiting ones. */
 size_t fr_count_started (const fr_admission_t *admission);
 size_t fr_count_waiting (const fr_admission_t *admission);
 
--- a/packages/call/include/foxtailrun/call/once.h
+++ b/packages/call/include/foxtailrun/call/once.h
@@ -19,7 +19,7 @@
 
 typedef enum
 {
-  FR_ONCE_RUN,           /* first use: to be run and ended by fr_end_once or fr_abandon_once */
+  FR_ONCE_RUN,           /* first use: run and end it by fr_end_once or fr_abandon_once */
   FR_ONCE_RUNNING,       /* the first use is running; its answer serves this one too */
   FR_ONCE_ANSWERED,      /* ran; the recorded answer is returned */
   FR_ONCE_UNKNOWN,       /* ran or may have run; no answer is recorded */
@@ -51,13 +51,12 @@
 fr_once_state_t fr_begin_once (fr_once_t *once, const fr_ticket_t *ticket,
                                uint64_t request_digest, fb_bytes_t *answer);
 
-/* Ends a use begun with FR_ONCE_RUN and records ANSWER; an empty ANSWER means that the outcome
- * is unknown. */
+/* Ends a use begun with FR_ONCE_RUN and records ANSWER; empty when the outcome is unknown. */
 void fr_end_once (fr_once_t *once, const fr_ticket_t *ticket, fb_bytes_t answer);
 
-/* Ends a use begun with FR_ONCE_RUN that provably never reached the backend server. The ticket
- * counts as refused from then on, so that a delayed copy of the request cannot run after "not
- * run" was reported. */
+/* Ends a use begun with FR_ONCE_RUN that provably never reached the backend server. The
+ * ticket then counts as refused, so that a delayed copy cannot run after "not run" was
+ * reported. */
 void fr_abandon_once (fr_once_t *once, const fr_ticket_t *ticket);
 
 /* Refuses TICKET for good. Returns FR_ONCE_REFUSED when it has not run, which may be reported
--- a/packages/call/include/foxtailrun/call/picker.h
+++ b/packages/call/include/foxtailrun/call/picker.h
@@ -5,8 +5,7 @@
 #include <foxtailrun/base/clock.h>
 #include <foxtailrun/member/table.h>
 
-/* How an instance is chosen. Nodes use FR_PICK_LOCALITY; the others are baselines for
- * comparison. */
+/* Nodes use FR_PICK_LOCALITY; the others are baselines for comparison. */
 typedef enum
 {
   FR_PICK_LOCALITY,
@@ -28,16 +27,15 @@
 
 typedef struct fr_picker fr_picker_t;
 
-/* Creates a picker for the node SELF in ZONE; CLOCK is borrowed, SEED starts the random
- * numbers. */
+/* Creates a picker for node SELF in ZONE; borrows CLOCK, SEED starts the random numbers. */
 fr_picker_t *fr_create_picker (fr_pick_policy_t policy, const fb_name_t *self,
                                const fb_name_t *zone, uint32_t seed, const fb_clock_t *clock);
 
 /* Frees the picker; NULL is allowed. */
 void fr_destroy_picker (fr_picker_t *picker);
 
-/* Adds, updates or, when it is leaving or dead, removes the instance MEMBER. To be called from
- * the changed hook of the membership, and for this node itself. */
+/* Adds, updates or, when it is leaving or dead, removes the instance MEMBER. Call from the
+ * membership's changed hook, and for this node itself. */
 void fr_update_instance (fr_picker_t *picker, const fw_member_t *member);
 
 /* Picks an instance of SERVICE other than the EXCLUDED_COUNT names in EXCLUDED and counts a
@@ -53,15 +51,15 @@
 void fr_report_result (fr_picker_t *picker, const fb_name_t *instance, fr_result_t result,
                        fb_time_t latency, uint32_t load);
 
-/* Like fr_pick_backend, for a call of RANK, 0 being the most urgent; the functions above stand
- * for rank 0. Calls in flight and latencies are recorded by rank, because the calls of a less
- * urgent rank waiting at an instance do not indicate the wait of a more urgent one. */
+/* Like fr_pick_backend, for a call of RANK, 0 being the most urgent; the functions above
+ * stand for rank 0. Calls in flight and latencies are recorded by rank, because waiting calls
+ * of a less urgent rank do not indicate the wait of a more urgent one. */
 bool fr_pick_for_rank (fr_picker_t *picker, fb_str_t service, uint32_t rank, fb_str_t key,
                        const fb_name_t *excluded, size_t excluded_count, fb_name_t *picked);
 
-/* Like fr_pick_for_rank, for a call with LATENCY_TARGET in ns; an instance of another zone is
- * picked only when it saves a fraction of the target. Also returns false when EXCLUDED is not
- * empty and all other instances are in other zones and would miss the target. */
+/* Like fr_pick_for_rank, for a call with LATENCY_TARGET in ns; other zones are used only
+ * when that saves a fraction of the target. Also returns false when EXCLUDED is not empty and
+ * all other instances are in other zones and would miss the target. */
 bool fr_pick_for_latency_target (fr_picker_t *picker, fb_str_t service, uint32_t rank,
                                  fb_time_t latency_target, const fb_name_t *excluded,
                                  size_t excluded_count, fb_name_t *picked);
@@ -79,8 +77,7 @@
 /* Ejects INSTANCE at least until UNTIL, for example when its node does not answer. */
 void fr_eject_until (fr_picker_t *picker, const fb_name_t *instance, fb_time_t until);
 
-/* Return the number of instances of SERVICE in the subset that are not ejected, and that are.
- */
+/* Return the number of non-ejected and of ejected instances in the subset of SERVICE. */
 size_t fr_count_available_instances (const fr_picker_t *picker, fb_str_t service);
 size_t fr_count_ejected (const fr_picker_t *picker, fb_str_t service);
 
@@ -99,9 +96,8 @@
 
 typedef void (*fr_instance_visitor_t) (const fr_instance_view_t *preference, void *user);
 
-/* Calls VISIT for each instance of SERVICE, the candidates for a call of RANK first, then the
- * rest of the subset, then all others, each by ascending score. Picks nothing and changes no
- * count. */
+/* Calls VISIT for each instance of SERVICE, candidates of RANK first, then the rest of the
+ * subset, then all others, each by ascending score. Changes no count. */
 void fr_visit_instances (const fr_picker_t *picker, fb_str_t service, uint32_t rank,
                          fr_instance_visitor_t visit, void *user);
 
--- a/packages/call/include/foxtailrun/call/retry.h
+++ b/packages/call/include/foxtailrun/call/retry.h
@@ -1,5 +1,4 @@
-/* Limits on retries and on calls to overloaded services at the entry node: retry budget and
- * adaptive throttle. */
+/* Entry node's limits on retries and on calls to overloaded services: budget and throttle. */
 #ifndef FOXTAILRUN_CALL_RETRY_H
 #define FOXTAILRUN_CALL_RETRY_H
 
@@ -12,7 +11,7 @@
 
 typedef struct fr_retry_budget fr_retry_budget_t;
 
-/* Creates a budget per service; CLOCK is borrowed. */
+/* Creates a budget per service; borrows CLOCK. */
 fr_retry_budget_t *fr_create_retry_budget (const fb_clock_t *clock);
 
 /* Frees the budget; NULL is allowed. */
@@ -25,13 +24,11 @@
 /* Counts a first attempt to SERVICE, which adds to its budget. */
 void fr_deposit_retry (fr_retry_budget_t *budget, fb_str_t service);
 
-/* Withdraws one retry of a call of RANK, 0 being the most urgent, from the budget of SERVICE;
- * returns false when the budget is used up. Less urgent ranks may use only a fraction of the
- * budget. */
+/* Withdraws one retry of a call of RANK, 0 being the most urgent, from the budget of
+ * SERVICE; false when it is used up. Less urgent ranks may use only a fraction. */
 bool fr_withdraw_retry (fr_retry_budget_t *budget, fb_str_t service, uint32_t rank);
 
-/* Charges a retry that is made regardless of the budget, such as a call made by a run that is
- * itself a repeat. */
+/* Charges a retry made regardless of the budget, such as a call by a repeated run. */
 void fr_charge_retry (fr_retry_budget_t *budget, fb_str_t service);
 
 /* Returns whether an attempt that ended with OUTCOME may be retried on another node: only when
@@ -41,22 +38,22 @@
 
 typedef struct fr_throttle fr_throttle_t;
 
-/* Creates an adaptive throttle per service and rank; CLOCK is borrowed, SEED starts the random
+/* Creates an adaptive throttle per service and rank; borrows CLOCK, SEED starts the random
  * numbers. */
 fr_throttle_t *fr_create_throttle (uint32_t seed, const fb_clock_t *clock);
 
 /* Frees the throttle; NULL is allowed. */
 void fr_destroy_throttle (fr_throttle_t *throttle);
 
-/* Returns whether a call may be sent; otherwise it is to be refused locally as not run. */
+/* Returns whether a call may be sent; otherwise refuse it locally as not run. */
 bool fr_admit_call (fr_throttle_t *throttle, fb_str_t service, uint32_t rank);
 
 /* Counts a sent call that ended; ACCEPTED is false when admission refused it. */
 void fr_report_call (fr_throttle_t *throttle, fb_str_t service, uint32_t rank, bool accepted);
 
 /* Like the functions above, which stand for a customer with an empty name. Each customer is
- * throttled by the outcomes of its own calls, so that a flood of one does not cause refusals of
- * others; customers with few calls are counted together. */
+ * throttled by its own outcomes, so that one's flood does not cause refusals of others;
+ * customers with few calls are counted together. */
 bool fr_admit_customer (fr_throttle_t *throttle, fb_str_t service, uint32_t rank,
                         fb_str_t customer);
 void fr_report_customer (fr_throttle_t *throttle, fb_str_t service, uint32_t rank,
--- a/packages/call/include/foxtailrun/call/splitter.h
+++ b/packages/call/include/foxtailrun/call/splitter.h
@@ -12,9 +12,9 @@
 /* Frees the splitter; NULL is allowed. */
 void fr_destroy_splitter (fr_splitter_t *splitter);
 
-/* Returns the index of the service for the next call of ROUTE. Over any sequence of calls the
- * count of each part stays within one call of its share. The sequence starts at a random
- * position, so that nodes do not make the same choices. */
+/* Returns the index of the service for the next call of ROUTE. Over any sequence each
+ * part's count stays within one call of its share. It starts at a random position, so that
+ * nodes choose differently. */
 uint32_t fr_split_call (fr_splitter_t *splitter, const fc_route_t *route);
 
 #endif
--- a/packages/call/source/admission-limit.c
+++ b/packages/call/source/admission-limit.c
@@ -2,8 +2,8 @@
  */
 #include "admission-state.h"
 
-/* A call is congested when its latency exceeds this multiple of its service time, that is, when
- * it waited longer than it ran. */
+/* A call is congested when its latency exceeds this multiple of its service time: it waited
+ * longer than it ran. */
 #define CONGESTION_RATIO 2
 
 #define LIMIT_DECREASE_FACTOR 0.95
--- a/packages/call/source/admission-share.c
+++ b/packages/call/source/admission-share.c
@@ -6,8 +6,8 @@
 #define AVAILABLE_FRACTION_MIN 0.01
 
 /* Fraction of the slots that the least urgent rank leaves free while more urgent ranks have
- * traffic. Slots are not preempted, so without free slots an urgent call waits for the end of a
- * long one. */
+ * traffic. Slots are not preempted, so otherwise an urgent call waits for the end of a long
+ * one. */
 #define RESERVE_FRACTION 0.2
 
 /* Least number of slots of which some are reserved. */
@@ -43,8 +43,8 @@
   return rank->usage < rank->options.share * admission->slots;
 }
 
-/* Returns the number of slots that RANK leaves free when it is over its share. The number grows
- * linearly from the most to the least urgent rank. */
+/* Returns the slots that RANK leaves free when over its share, growing linearly from the
+ * most to the least urgent rank. */
 static uint32_t
 get_reserve (const fr_admission_t *admission, const rank_t *rank)
 {
@@ -60,9 +60,9 @@
   return reserve_max * rank->index / MAX (admission->ranks->len - 1, 1);
 }
 
-/* Returns, of the ranks with waiting calls, the most urgent one below its share, otherwise the
- * most urgent one if the reserve allows it. Returns NULL when no call waits or the reserve does
- * not allow it. */
+/* Returns, of the ranks with waiting calls, the most urgent one below its share, otherwise
+ * the most urgent one if the reserve allows it. NULL when no call waits or the reserve forbids
+ * it. */
 static rank_t *
 choose_by_share (const fr_admission_t *admission)
 {
@@ -149,9 +149,8 @@
   return choose_by_share (admission);
 }
 
-/* Returns the fraction of the slots available to RANK: all slots except those used by more
- * urgent ranks and those used by less urgent ranks within their shares, but at least its own
- * share. */
+/* Returns the fraction of the slots available to RANK: all except those used by more urgent
+ * ranks, or by less urgent ones within their shares, but at least its own share. */
 static double
 get_available_fraction (const fr_admission_t *admission, const rank_t *rank)
 {
--- a/packages/call/source/admission-state.h
+++ b/packages/call/source/admission-state.h
@@ -26,8 +26,8 @@
                            by weight */
   GQueue waiting;       /* entry_t, oldest first */
   uint32_t retries_waiting; /* caller retries at the head of waiting */
-  uint32_t started;         /* calls that occupy a slot */
-  GSequenceIter *position;  /* in the rank's backlogged_flows; NULL when no call waits */
+  uint32_t started;
+  GSequenceIter *position; /* in the rank's backlogged_flows; NULL when no call waits */
 } flow_t;
 
 typedef struct
@@ -120,7 +120,7 @@
  * one more counted for ARRIVING_FLOW; NULL when that flow is ARRIVING_FLOW itself. */
 entry_t *fr_find_entry_to_evict (const rank_t *rank, const flow_t *arriving_flow);
 
-/* Returns the expected number of waiting calls of its rank that start before a new call of
+/* Returns the expected number of waiting calls of the rank that start before a new one of
  * FLOW. */
 double fr_count_calls_ahead (const flow_t *flow);
 
@@ -132,13 +132,12 @@
 
 /* admission-share.c */
 
-/* Updates the usage of all ranks to the current time. */
 void fr_update_usage (fr_admission_t *admission);
 
 /* Returns whether the recent usage of RANK is below its guaranteed share. */
 bool fr_is_below_share (const fr_admission_t *admission, const rank_t *rank);
 
-/* Returns the rank with waiting calls that gets the next free slot. Returns NULL when no call
+/* Returns the rank with waiting calls that gets the next free slot; NULL when no call
  * waits, or when FR_POLICY_SHARES reserves the free slots for more urgent ranks. */
 rank_t *fr_choose_rank (const fr_admission_t *admission);
 
@@ -149,8 +148,7 @@
 
 /* admission-limit.c */
 
-/* Updates the limit of FR_POLICY_ADAPTIVE after a call with LATENCY since its arrival and
- * SERVICE_TIME. */
+/* Updates the limit of FR_POLICY_ADAPTIVE after a call; LATENCY is since its arrival. */
 void fr_update_concurrency_limit (fr_admission_t *admission, fb_time_t latency,
                                   fb_time_t service_time);
 
--- a/packages/call/source/admission.c
+++ b/packages/call/source/admission.c
@@ -19,8 +19,8 @@
   return "unknown";
 }
 
-/* Calls the pending hooks. A hook may call admission again; the outermost call then delivers
- * the events added. */
+/* Calls the pending hooks. When a hook calls admission, the outermost call delivers the
+ * added events. */
 static void
 deliver_events (fr_admission_t *admission)
 {
@@ -52,7 +52,6 @@
   fb_add_counter (start ? admission->count_started : admission->count_refused[refusal], 1);
 }
 
-/* Refuses a waiting ENTRY and frees it. */
 static void
 refuse_entry (fr_admission_t *admission, entry_t *entry, fr_refusal_t refusal)
 {
@@ -62,9 +61,8 @@
   g_hash_table_remove (admission->entries, &entry->id);
 }
 
-/* Returns whether ENTRY cannot end by its deadline. The average service time is ignored while
- * the rank runs no call, because an average that is too long would otherwise never be
- * corrected. */
+/* Returns whether ENTRY cannot end by its deadline. The average service time is ignored
+ * while the rank runs no call, or too long an average would never be corrected. */
 static bool
 misses_deadline (const fr_admission_t *admission, const entry_t *entry, fb_time_t now)
 {
@@ -86,9 +84,9 @@
   return (double)start + rank->service_time_ns * SERVICE_TIME_MARGIN > (double)target_time;
 }
 
-/* Returns whether ENTRY, next in a rank over its share, would miss its target, so that the slot
- * goes to a newer call. Without a target time of its own, a call within its customer's fair
- * share is served late instead, so that a flood of one customer does not cause refusals of the
+/* Returns whether ENTRY, next in a rank over its share, would miss its target, so that the
+ * slot goes to a newer call. Without its own target time, a call within its customer's fair
+ * share is served late instead, so that one customer's flood does not cause refusals of
  * others. */
 static bool
 should_skip_entry (const fr_admission_t *admission, const entry_t *entry, fb_time_t now)
@@ -106,8 +104,8 @@
          && !fr_is_below_share (admission, rank);
 }
 
-/* Returns whether a waiting ENTRY would miss its target time while other calls wait too. It is
- * refused early so that its caller can retry in time, unless it is a retry already. */
+/* Returns whether a waiting ENTRY would miss its target time while other calls wait too.
+ * Refused early so that its caller can retry in time, unless already a retry. */
 static bool
 should_refuse_entry (const fr_admission_t *admission, const entry_t *entry, fb_time_t now)
 {
@@ -131,7 +129,6 @@
   add_event (admission, entry->call, true, FR_REFUSED_QUEUE_FULL);
 }
 
-/* Assigns free slots to waiting calls. */
 static void
 start_waiting_calls (fr_admission_t *admission)
 {
@@ -233,8 +230,7 @@
     {
       entry_t *entry = value;
 
-      /* Started calls are in no queue; their flow is looked up in the rank that it was merged
-       * into. */
+      /* Started calls are in no queue; look up their flow in the rank it was merged into. */
       if (entry->flow->rank->index >= rank_count)
         entry->flow = fr_find_or_add_flow (last_rank, fb_wrap_text (entry->flow->customer),
                                            entry->flow->weight);
@@ -265,15 +261,14 @@
 }
 
 /* Returns whether the wait of a new call of RANK can be estimated. A rank that runs no call
- * accepts one regardless of its average service time, because an average that is too long would
- * otherwise never be corrected. */
+ * accepts one regardless of its average service time, or too long an average would never be
+ * corrected. */
 static bool
 can_estimate_wait (const rank_t *rank, const fr_call_options_t *times)
 {
   return rank->started > 0 || (times->target_time > 0 && rank->waiting > 0);
 }
 
-/* Decides whether a new call of FLOW is refused, as REFUSAL. */
 static bool
 should_refuse_call (fr_admission_t *admission, const flow_t *flow,
                     const fr_call_options_t *times, fr_refusal_t *refusal)
--- a/packages/call/source/once-record.c
+++ b/packages/call/source/once-record.c
@@ -25,8 +25,7 @@
   size_t max_records;
   size_t max_bytes;
   uint64_t next_serial;
-  /* Serials below it without a record count as run, because their records may have been
-   * evicted. */
+  /* Lower serials without a record count as run: the records may have been evicted. */
   uint64_t low_water_serial;
   GHashTable *records; /* serial -> record_t */
   GTree *completed;    /* serial -> record_t that is not running */
@@ -106,8 +105,7 @@
               once->node.data, once->start_id, serial, compute_nonce (once, serial));
 }
 
-/* Frees the answer of RECORD; the record itself remains, so that the call does not run again.
- */
+/* Frees the answer only; RECORD remains, so that the call does not run again. */
 static void
 evict_answer (fr_once_t *once, record_t *record)
 {
--- a/packages/call/source/retry-budget.c
+++ b/packages/call/source/retry-budget.c
@@ -2,8 +2,7 @@
 #include "retry-window.h"
 #include <foxtailrun/call/retry.h>
 
-/* Allowed regardless of traffic, so that calls of a service with few calls can be retried; one
- * per second. */
+/* Allowed regardless of traffic, so that services with few calls can retry; one per second. */
 #define RETRIES_PER_WINDOW_MIN 10.0
 
 /* Fraction of the budget that each rank leaves to the next more urgent one, and the smallest
@@ -88,8 +87,8 @@
 bool
 fr_is_retry_safe (fw_outcome_t outcome, bool repeatable, bool has_ticket)
 {
-  /* By outcome and whether the route is repeatable. A call with a ticket is bound to one node
-   * and is not retried on another. */
+  /* By outcome and whether the route is repeatable. A ticket binds a call to one node: no
+   * retry on another. */
   static const bool allowed[][2] = {
     [FW_ANSWERED] = { false, false },
     [FW_NOT_RUN] = { true, true },
--- a/packages/call/source/retry-throttle.c
+++ b/packages/call/source/retry-throttle.c
@@ -2,8 +2,8 @@
 #include "retry-window.h"
 #include <foxtailrun/call/retry.h>
 
-/* Calls admitted per accepted call. Above 1, so that a recovery of the service is noticed at
- * once; with 2 a flood costs a node as many refusals as accepted calls. */
+/* Calls admitted per accepted call. Above 1, to notice a recovery at once; with 2 a flood
+ * costs a node as many refusals as accepted calls. */
 #define ADMITTED_PER_ACCEPTED 2.0
 
 /* Ended calls in a window from which the throttle refuses calls and a customer is counted
@@ -65,7 +65,6 @@
   return window;
 }
 
-/* Returns the window by which calls of CUSTOMER are throttled. */
 static fr_window_t *
 find_throttling_window (fr_throttle_t *throttle, fb_str_t service, uint32_t rank,
                         fb_str_t customer)
@@ -75,9 +74,8 @@
   return own->counted_separately ? own : find_or_add_window (throttle, service, rank, NULL);
 }
 
-/* Counts one call of CUSTOMER that ended. Customers with few calls are counted in their own
- * window and in the shared one; when a customer reaches SAMPLE_CALLS_MIN, its calls are
- * subtracted from the shared window. */
+/* Counts one call of CUSTOMER that ended. Customers with few calls count in their own and
+ * the shared window; at SAMPLE_CALLS_MIN their calls are subtracted from the shared one. */
 static void
 count_call (fr_throttle_t *throttle, fb_str_t service, uint32_t rank, fb_str_t customer,
             bool accepted)
@@ -113,8 +111,7 @@
       window->last_admitted_at = now;
       return true;
     }
-  /* Calls in flight are counted only when they end, because a slow service would otherwise seem
-   * to refuse calls. */
+  /* Calls in flight count only at their end, or a slow service would seem to refuse calls. */
   count_call (throttle, service, rank, customer, false);
   return false;
 }
--- a/packages/call/source/retry-window.h
+++ b/packages/call/source/retry-window.h
@@ -1,6 +1,6 @@
 /* Sliding windows of FR_WINDOW_LENGTH by key, each with two counts. The retry budget counts
- * first attempts (calls) and retries (granted). The throttle counts calls that ended, including
- * those it refused (calls), and calls that admission accepted (granted). */
+ * first attempts (calls) and retries (granted). The throttle counts ended calls, including
+ * those it refused (calls), and those admission accepted (granted). */
 #ifndef FOXTAILRUN_CALL_RETRY_WINDOW_H
 #define FOXTAILRUN_CALL_RETRY_WINDOW_H
 
@@ -36,21 +36,19 @@
 /* Initializes WINDOWS, to be freed by fr_clear_windows. */
 void fr_init_windows (fr_windows_t *windows);
 
-/* Frees all windows. */
 void fr_clear_windows (fr_windows_t *windows);
 
-/* Removes expired buckets as of NOW and returns the sum of the others, borrowed. */
+/* Removes buckets expired at NOW; returns the sum of the others, borrowed. */
 const fr_window_count_t *fr_advance_window (fr_window_t *window, fb_time_t now);
 
-/* Adds CALLS and GRANTED to the current bucket. */
 void fr_add_to_window (fr_window_t *window, fb_time_t now, uint64_t calls, uint64_t granted);
 
-/* Subtracts the counts of WINDOW from TOTAL, which includes them. Both must have been advanced
- * to the same time. */
+/* Subtracts the counts of WINDOW from TOTAL, which includes them. Both must be advanced to
+ * the same time. */
 void fr_subtract_window (fr_window_t *total, const fr_window_t *window);
 
-/* Returns the window of KEY, created when missing; it is valid until the next call. The call
- * also frees empty windows, at most once per FR_WINDOW_LENGTH. */
+/* Returns the window of KEY, created when missing, valid until the next call. Also frees
+ * empty windows, at most once per FR_WINDOW_LENGTH. */
 fr_window_t *fr_find_or_add_window (fr_windows_t *windows, const char *key, fb_time_t now);
 
 size_t fr_count_windows (const fr_windows_t *windows);
--- a/packages/call/source/route-locality.c
+++ b/packages/call/source/route-locality.c
@@ -3,9 +3,9 @@
 #include "route-state.h"
 #include <math.h>
 
-/* Fraction of the latency target that an instance of another zone, or of another region, must
- * save. Traffic between zones is paid for, and unneeded detours occupy slots that the other
- * zones need. */
+/* Fraction of the latency target that an instance of another zone, or of another region,
+ * must save. Traffic between zones is paid for, and unneeded detours occupy slots that the
+ * other zones need. */
 #define ZONE_DETOUR_FRACTION 0.5
 #define REGION_DETOUR_FRACTION 0.7
 
@@ -13,16 +13,14 @@
  * instance that was full is picked again. */
 #define REPORT_FADE_TIME (500 * FB_MILLISECOND)
 
-/* Fraction of the service time added for an instance with all slots in use, because the next
- * call may have to wait. */
+/* Fraction of the service time added when all slots are in use: the next call may wait. */
 #define LOAD_PENALTY_FRACTION 0.5
 
-/* Instances drawn at random, of which the best is chosen. With relative service times of 0.7,
- * 0.7 and 1.6, two draws send 1/9 of the calls to the slow third of the instances, three draws
- * 1/27. */
+/* Instances drawn at random. With relative service times of 0.7, 0.7 and 1.6, two draws
+ * send 1/9 of the calls to the slow third, three 1/27. */
 #define DRAW_COUNT 3
 
-/* Fraction of the service time added for each call of this node in flight. */
+/* Fraction of the service time added per call of this node in flight. */
 #define IN_FLIGHT_PENALTY_FRACTION 0.05
 
 void
@@ -74,9 +72,9 @@
     }
 }
 
-/* Returns the best of a few instances drawn at random from the same zone, or from all others
- * when OWN_ZONE is false; NULL when there is none. The random draw keeps nodes that receive the
- * same reports from all choosing the same instance. */
+/* Returns the best of a few instances drawn at random from the same zone, or from all
+ * others when OWN_ZONE is false; NULL when there is none. Random, so that nodes with the same
+ * reports do not all choose the same instance. */
 static instance_t *
 pick_best_drawn (fr_picker_t *picker, const candidates_t *candidates, bool own_zone,
                  uint32_t rank, fb_time_t now)
@@ -117,8 +115,8 @@
   if (remote == NULL || (local == NULL && !is_retry))
     return remote == NULL ? local : remote;
   time = estimate_time (remote, rank, now);
-  /* A detour that would miss the target costs traffic without benefit: most such calls are
-   * refused there. */
+  /* A detour that would miss the target only costs traffic: most such calls are refused
+   * there. */
   if (latency_target > 0 && time > (double)latency_target)
     return local;
   if (local == NULL)
--- a/packages/call/source/route-outlier.c
+++ b/packages/call/source/route-outlier.c
@@ -11,8 +11,8 @@
 /* At most one in so many instances of the subset is ejected for failures. */
 #define EJECT_SUBSET_DIVISOR 3
 
-/* First ejection time of an unreachable instance; doubled each time. The limit of the doublings
- * bounds the time until a restarted node gets calls again. */
+/* First ejection time of an unreachable instance; doubled each time. Limiting the doublings
+ * bounds the time until a restarted node gets calls. */
 #define UNREACHABLE_EJECT_TIME (200 * FB_MILLISECOND)
 #define UNREACHABLE_DOUBLINGS_MAX 3
 
--- a/packages/call/source/route-pick.c
+++ b/packages/call/source/route-pick.c
@@ -113,7 +113,6 @@
   instance->service->subset_stale = true;
 }
 
-/* Sets the own region from this node's MEMBER record. */
 static void
 set_own_region (fr_picker_t *picker, const fw_member_t *member)
 {
@@ -284,7 +283,6 @@
   return best;
 }
 
-/* Returns RANK limited to the ranks that a configuration may have. */
 static uint32_t
 clamp_rank (uint32_t rank)
 {
@@ -298,7 +296,6 @@
   instance->rank_stats[clamp_rank (rank)].in_flight++;
 }
 
-/* Collects the candidates of FR_PICK_LOCALITY at all distances. */
 static void
 collect_locality_candidates (const fr_picker_t *picker, const service_t *service,
                              const fb_name_t *excluded, size_t excluded_count,
--- a/packages/call/source/route-score.c
+++ b/packages/call/source/route-score.c
@@ -2,8 +2,8 @@
 #include "route-state.h"
 #include <math.h>
 
-/* Largest change of a logarithmic latency by one sample. The step does not depend on the
- * sample's size, so that a few long calls do not divert the others. */
+/* Largest change of a logarithmic latency by one sample. Independent of the sample's size,
+ * so that a few long calls do not divert the others. */
 #define LOG_LATENCY_STEP 0.05
 
 /* A failed attempt counts as at least this multiple of the median latency. */
@@ -18,7 +18,7 @@
 
 #define LOAD_REPORT_LIFETIME FB_SECOND
 
-/* Larger loads count as this, because they are mostly the queue of the least urgent rank. */
+/* Larger loads count as this: they are mostly the queue of the least urgent rank. */
 #define LOAD_PERMILLE_MAX 2000
 
 /* Cost factor of an idle instance; one with all slots in use has 1. */
--- a/packages/call/source/route-split.c
+++ b/packages/call/source/route-split.c
@@ -3,8 +3,7 @@
 #include <glib.h>
 #include <string.h>
 
-/* Limit of stored route states. Beyond it all are reset, which costs one call of accuracy per
- * route. */
+/* Beyond it all route states are reset, which costs one call of accuracy per route. */
 #define ROUTES_MAX 10000
 
 /* Upper bound of the random number of picks skipped for a new state. */
@@ -60,7 +59,6 @@
          && memcmp (state->parts, route->parts, state->count * sizeof *state->parts) == 0;
 }
 
-/* Returns the index of the part for the next call. */
 static size_t
 pick_next_part (split_state_t *state)
 {
--- a/packages/call/source/route-state.h
+++ b/packages/call/source/route-state.h
@@ -26,7 +26,6 @@
 
 typedef struct service service_t;
 
-/* Statistics of one rank at one instance. */
 typedef struct
 {
   uint32_t in_flight;
@@ -79,7 +78,6 @@
   GHashTable *services;  /* name -> service_t */
 };
 
-/* The instances that a pick chooses from. */
 typedef struct
 {
   instance_t *instances[SUBSET_SIZE_MAX];
@@ -99,22 +97,21 @@
 
 /* route-locality.c */
 
-/* Picks one of CANDIDATES, of which there is at least one, for a call with LATENCY_TARGET.
- * Returns NULL for a retry when only instances of other zones remain and would miss the target.
- */
+/* Picks one of CANDIDATES, at least one, for a call with LATENCY_TARGET. NULL for a retry
+ * when only other zones remain and would miss the target. */
 instance_t *fr_pick_by_locality (fr_picker_t *picker, const candidates_t *candidates,
                                  uint32_t rank, fb_time_t latency_target, bool is_retry,
                                  fb_time_t now);
 
 /* route-subset.c */
 
-/* Returns the distance of INSTANCE; while the own region is unknown all other zones count as
+/* Returns the distance of INSTANCE; while the own region is unknown, other zones count as
  * the same region. */
 distance_t fr_get_distance (const fr_picker_t *picker, const instance_t *instance);
 
-/* Chooses the subset of SERVICE when its instances have changed; to be called before each use
- * of the subset. It is chosen on use because sorting the instances at each change is too slow
- * when many members of a large service join at once. */
+/* Chooses the subset of SERVICE when its instances have changed; call before each use,
+ * because sorting at each change is too slow when many members of a large service join at
+ * once. */
 void fr_refresh_subset (const fr_picker_t *picker, service_t *service);
 
 /* route-outlier.c */
@@ -124,10 +121,9 @@
 /* Counts an attempt and ejects INSTANCE after EJECT_FAILURES consecutive failures. */
 void fr_record_attempt (instance_t *instance, bool failed, fb_time_t now);
 
-/* Ejects an unreachable INSTANCE for a short time that doubles while it stays unreachable. */
+/* Ejects an unreachable INSTANCE for a short time, doubled while it stays so. */
 void fr_eject_unreachable (instance_t *instance, fb_time_t now);
 
-/* Returns the number of ejected instances in the subset of SERVICE. */
 size_t fr_count_subset_ejected (const service_t *service, fb_time_t now);
 
 /* route-score.c */
@@ -136,7 +132,6 @@
 void fr_sample_latency (instance_t *instance, uint32_t rank, fb_time_t latency, bool failed,
                         fb_time_t now);
 
-/* Adds a sample of the time at the backend server. */
 void fr_sample_service_time (instance_t *instance, uint32_t rank, fb_time_t service_time);
 
 /* Returns the expected cost of another call of RANK on INSTANCE; lower is better. */
--- a/packages/call/source/route-subset.c
+++ b/packages/call/source/route-subset.c
@@ -22,7 +22,6 @@
   return fb_compare_names (&left->member.id, &right->member.id);
 }
 
-/* Adds up to COUNT instances at DISTANCE that are not yet in the subset. */
 static void
 add_at_distance (const fr_picker_t *picker, service_t *service, distance_t distance,
                  size_t count)
--- a/packages/call/tests/fixture-entry.c
+++ b/packages/call/tests/fixture-entry.c
@@ -27,7 +27,6 @@
     simulation->totals[TOTAL_UNKNOWN]++;
 }
 
-/* Sends the request of a caller again after a random delay. */
 static void
 repeat_request (simulation_t *simulation, request_t *request)
 {
@@ -159,8 +158,8 @@
   send_attempt (node, entry_call);
 }
 
-/* Removes the entry call whose current attempt is ATTEMPT_ID from NODE and returns it, or NULL
- * when that attempt has ended. */
+/* Removes and returns NODE's entry call with current attempt ATTEMPT_ID; NULL when it has
+ * ended. */
 static entry_call_t *
 remove_entry_call (node_t *node, uint64_t attempt_id)
 {
@@ -171,7 +170,6 @@
   return entry_call;
 }
 
-/* Reports the end of the current attempt of ENTRY_CALL to picker and throttle. */
 static void
 report_attempt (node_t *node, const entry_call_t *entry_call, fw_outcome_t outcome,
                 uint32_t load)
--- a/packages/call/tests/fixture-service.c
+++ b/packages/call/tests/fixture-service.c
@@ -124,7 +124,6 @@
                        * FB_MILLISECOND);
 }
 
-/* Injects a random fault at a random node. */
 static void
 inject_fault (simulation_t *simulation)
 {
@@ -237,7 +236,7 @@
     }
 }
 
-/* Runs all events before SIMULATION_END; those of a paused node are postponed to the end of its
+/* Runs all events before SIMULATION_END; those of a paused node wait for the end of its
  * pause. */
 static void
 run_events (simulation_t *simulation)
--- a/packages/call/tests/fixture-simulation.h
+++ b/packages/call/tests/fixture-simulation.h
@@ -19,26 +19,26 @@
 {
   EVENT_REQUEST, /* a caller sends or repeats its request to an entry node */
   EVENT_CALLER_TIMEOUT,
-  EVENT_CALL,          /* entry node to target */
-  EVENT_CANCEL,        /* entry node to target */
-  EVENT_ANSWER,        /* target to entry node */
-  EVENT_TIMEOUT,       /* of an attempt at the entry node */
-  EVENT_FINISH,        /* a backend server ends a call */
+  EVENT_CALL,    /* entry node to target */
+  EVENT_CANCEL,  /* entry node to target */
+  EVENT_ANSWER,  /* target to entry node */
+  EVENT_TIMEOUT, /* of an attempt at the entry node */
+  EVENT_FINISH,
   EVENT_MEMBER_UPDATE, /* the membership of a node reports the state of another */
   EVENT_KILL,
   EVENT_START,
-  EVENT_FAULT, /* a fault is injected at a random node */
+  EVENT_FAULT,
   EVENT_TICK
 } event_kind_t;
 
-/* An event with its message. A start_id identifies one process of a node; it is 0 in a node
- * that is down and in an event that any process of the node handles. */
+/* An event with its message. A start_id identifies one process of a node; 0 in a node that
+ * is down and in an event for any process. */
 typedef struct
 {
   fb_time_t time;
   uint64_t order;
   event_kind_t kind;
-  uint32_t node;     /* node that handles it */
+  uint32_t node;
   uint64_t start_id; /* of the process that handles it */
   uint32_t entry;
   uint64_t entry_start_id;
@@ -81,7 +81,6 @@
   fb_time_t deadline;
 } entry_call_t;
 
-/* A call at the target node. */
 typedef struct
 {
   uint64_t id;
@@ -126,10 +125,10 @@
   uint64_t last_id;
   node_t nodes[NODES];
   request_t requests[REQUESTS];
-  GHashTable *runs;        /* ticket, or attempt id as text -> number of runs */
-  GHashTable *not_run;     /* set of keys as in runs that were reported as not run */
-  uint32_t failing_node;   /* node whose backend server fails */
-  uint32_t shedding_node;  /* node whose backend server sheds load */
+  GHashTable *runs;    /* ticket, or attempt id as text -> number of runs */
+  GHashTable *not_run; /* set of keys as in runs that were reported as not run */
+  uint32_t failing_node;
+  uint32_t shedding_node;
   uint32_t partition_mask; /* bit mask of the nodes on one side of a partition */
   fb_time_t partition_until;
   uint64_t *totals;
--- a/packages/call/tests/fixture-target.c
+++ b/packages/call/tests/fixture-target.c
@@ -23,7 +23,6 @@
   g_free (backend_call);
 }
 
-/* Sends OUTCOME to the entry node of CALL. */
 static void
 send_answer (node_t *node, const event_t *call, fw_outcome_t outcome, fb_bytes_t body,
              const char *ticket)
@@ -50,8 +49,7 @@
                  body, "");
 }
 
-/* Counts a run at the backend server, by ticket or by attempt without one; each may run once.
- */
+/* Counts a run by ticket, or by attempt without one; each may run once. */
 static void
 count_run (simulation_t *simulation, const backend_call_t *backend_call)
 {
@@ -108,7 +106,6 @@
   g_hash_table_remove (node->backend_calls, &backend_call->id);
 }
 
-/* Offers CALL to admission. */
 static void
 offer_backend_call (node_t *node, const event_t *call, const fr_ticket_t *ticket)
 {
@@ -131,7 +128,6 @@
                  fb_read_clock (simulation->clock) + call->remaining);
 }
 
-/* Adds CALL to the waiters of the backend call with the same ticket. */
 static void
 join_backend_call (node_t *node, const event_t *call)
 {
--- a/packages/call/tests/test-admission.c
+++ b/packages/call/tests/test-admission.c
@@ -294,7 +294,7 @@
   fb_destroy_clock (clock);
 }
 
-/* Guards against a slot that is freed twice, after which more calls than slots would run. */
+/* Guards against a slot freed twice, after which more calls than slots would run. */
 static void
 test_finish_twice (void)
 {
--- a/packages/call/tests/test-once.c
+++ b/packages/call/tests/test-once.c
@@ -40,7 +40,6 @@
   g_assert_cmpmem (answer.data, answer.len, expected_answer, strlen (expected_answer));
 }
 
-/* Runs a new ticket to its end with ANSWER. */
 static fr_ticket_t
 run_ticket (fr_once_t *once, const char *answer)
 {
@@ -93,8 +92,7 @@
     }
 }
 
-/* Guards against a second run, and against an answer that is lost or belongs to another call.
- */
+/* Guards against a second run, and an answer that is lost or of another call. */
 static void
 test_lifecycle (void)
 {
@@ -139,7 +137,7 @@
   g_assert_cmpint (fr_refuse_once (once, &ran, 8, &answer), ==, FR_ONCE_MISMATCH);
   assert_state (once, &running, FR_ONCE_RUN, "");
   g_assert_cmpint (fr_refuse_once (once, &running, 7, &answer), ==, FR_ONCE_RUNNING);
-  /* The record of the refusal was evicted, so that it is unknown whether that ticket ran. */
+  /* The refusal's record was evicted, so it is unknown whether the ticket ran. */
   assert_state (once, &unused, FR_ONCE_UNKNOWN, "");
   assert_state (once, &more, FR_ONCE_RUN, "");
   /* While all records are running a refusal cannot be recorded. */
@@ -236,7 +234,7 @@
   fr_destroy_once (once);
 }
 
-/* Guards against the eviction of a running record, and against a call that runs without one. */
+/* Guards against the eviction of a running record, and a call that runs without one. */
 static void
 test_all_running (void)
 {
--- a/packages/call/tests/test-picker.c
+++ b/packages/call/tests/test-picker.c
@@ -73,8 +73,8 @@
   fr_report_result (fixture->picker, &id, result, latency, load);
 }
 
-/* Picks PICKS times for RANK, ending each call at once as cancelled, and counts the picks by
- * instance number. */
+/* Picks PICKS times for RANK, cancelling each call at once; counts picks by instance
+ * number. */
 static void
 count_picks (fixture_t *fixture, uint32_t rank, int *counts, size_t size)
 {
@@ -133,8 +133,8 @@
   bool spills;
 } zone_case_t;
 
-/* Guards against traffic that leaves its zone without need, and against a zone that is
- * overloaded while others are idle. */
+/* Guards against traffic that leaves its zone without need, and a zone overloaded while
+ * others are idle. */
 static void
 test_zones (void)
 {
@@ -162,8 +162,8 @@
     }
 }
 
-/* Guards against calls to leaving or dead instances, and against suspect ones that are picked
- * while others are alive, or never. */
+/* Guards against calls to leaving or dead instances, and suspect ones picked while others
+ * are alive, or never. */
 static void
 test_member_states (void)
 {
@@ -217,7 +217,7 @@
 {
   const char *name;
   int instances;
-  int failing;  /* instances that fail */
+  int failing;
   int failures; /* consecutive, of each */
   fr_result_t result;
   size_t ejected;
@@ -254,8 +254,8 @@
     }
 }
 
-/* Guards against an ejected instance that is picked, never returns, or is not ejected again
- * when it still fails, and against ejection for failures that are not consecutive. */
+/* Guards against an ejected instance that is picked, never returns or, still failing, is
+ * not ejected again, and against ejection for failures that are not consecutive. */
 static void
 test_ejection_end (void)
 {
@@ -375,7 +375,7 @@
   static const struct
   {
     const char *name;
-    int ejected; /* number of the instance that fails, -1 for none */
+    int ejected; /* -1 for none */
     const char *order;
   } cases[] = {
     { "spill-over-is-spare", -1,
--- a/packages/call/tests/test-retry.c
+++ b/packages/call/tests/test-retry.c
@@ -48,8 +48,8 @@
   return withdraw_all_of_rank (budget, 0);
 }
 
-/* Guards against retry storms, against services with few calls that cannot retry, and against a
- * budget that accumulates over time or is shared between services. */
+/* Guards against retry storms, services with few calls that cannot retry, and a budget that
+ * accumulates over time or is shared between services. */
 static void
 test_budget (void)
 {
@@ -77,8 +77,8 @@
   fb_destroy_clock (clock);
 }
 
-/* Guards against less urgent calls that use up the whole budget, and against retries inside a
- * repeated run that are not charged. */
+/* Guards against less urgent calls that use up the budget, and uncharged retries inside a
+ * repeated run. */
 static void
 test_budget_ranks (void)
 {
@@ -126,8 +126,8 @@
   return sent;
 }
 
-/* Guards against floods that pass the entry node, against a throttle that never recovers, and
- * against calls in flight that count as refused. */
+/* Guards against floods that pass the entry node, a throttle that never recovers, and calls
+ * in flight that count as refused. */
 static void
 test_throttle (void)
 {
--- a/packages/call/tests/test-split.c
+++ b/packages/call/tests/test-split.c
@@ -102,7 +102,7 @@
 {
   static const struct
   {
-    int local_wait_ms; /* reported wait of the instance in the same zone */
+    int local_wait_ms;
     bool unreachable;
     const char *picked;
   } cases[] = {
@@ -153,7 +153,7 @@
   {
     bool local_exists;
     bool local_excluded;
-    int remote_wait_ms; /* reported wait of the instance in the other zone */
+    int remote_wait_ms;
     const char *picked; /* NULL for none */
   } cases[] = {
     { true, false, 0, "remote" },  { true, false, 150, "local" },
--- a/packages/call/tests/test-timed.c
+++ b/packages/call/tests/test-timed.c
@@ -44,8 +44,8 @@
   offer_ranked (fixture, number, 0, target_ms, is_caller_retry);
 }
 
-/* Creates admission with a call in every slot and one finished call of SERVICE_TIME, so that
- * the average service time of rank 0 is known. */
+/* Creates admission with a call in every slot and one finished call of SERVICE_TIME, so
+ * that rank 0's average is known. */
 static void
 set_up (fixture_t *fixture)
 {
@@ -140,8 +140,8 @@
     }
 }
 
-/* Guards against calls of a less urgent rank that wait while a more urgent rank uses all slots,
- * until their callers time out, instead of being refused while a retry can still be in time. */
+/* Guards against less urgent calls that wait for a more urgent rank until their callers
+ * time out, instead of being refused while a retry can be in time. */
 static void
 test_starved_rank (void)
 {
@@ -157,7 +157,7 @@
       fixture_t fixture;
 
       set_up (&fixture);
-      /* One finished call of rank 1, so that the average service time of rank 1 is known. */
+      /* So that the average service time of rank 1 is known. */
       fr_finish_call (fixture.admission, 2);
       offer_ranked (&fixture, 9, 1, 1000, false);
       fb_advance_clock (fixture.clock, SERVICE_TIME);
--- a/packages/dist/include/foxtailrun/dist/feed.h
+++ b/packages/dist/include/foxtailrun/dist/feed.h
@@ -1,5 +1,5 @@
 /* Feed of a store that lists endpoints and holds a configuration document. A node reads the
- * store itself or follows a node of its zone that does. */
+ * store or follows a node of its zone that does. */
 #ifndef FOXTAILRUN_DIST_FEED_H
 #define FOXTAILRUN_DIST_FEED_H
 
@@ -44,11 +44,11 @@
 
 typedef struct
 {
-  /* Starts READ, borrowed. The results go to fd_add_endpoint, fd_remove_endpoint and
-   * fd_set_document, then fd_end_read is called. At most one read is outstanding. */
+  /* Starts READ, borrowed. Results go to fd_add_endpoint, fd_remove_endpoint and
+   * fd_set_document, then fd_end_read. At most one is outstanding. */
   void (*start_read) (const fd_read_t *read, void *user);
-  /* Sends REQUEST, borrowed, to RELAY; ends by fd_handle_response or fd_fail_request. At most
-   * one request is outstanding. */
+  /* Sends REQUEST, borrowed, to RELAY; ends by fd_handle_response or fd_fail_request. At
+   * most one is outstanding. */
   void (*send_request) (const fw_member_t *relay, const fw_feed_message_t *request, void *user);
   /* Sends RESPONSE, borrowed, to REQUESTER of fd_handle_request. */
   void (*send_response) (void *requester, const fw_feed_message_t *response, void *user);
@@ -68,8 +68,8 @@
 
 typedef struct fd_feed fd_feed_t;
 
-/* Creates a feed that starts with a read of everything. OPTIONS and HOOKS are copied, CLOCK,
- * COUNTERS and LOG (may be NULL) are borrowed, SEED initialises the random numbers. */
+/* Creates a feed that first reads everything. Copies OPTIONS and HOOKS, borrows CLOCK,
+ * COUNTERS and LOG (may be NULL); SEED starts the random numbers. */
 fd_feed_t *fd_create_feed (const fd_feed_options_t *options, uint32_t seed,
                            const fb_clock_t *clock, fb_counters_t *counters, fb_log_t *log,
                            const fd_feed_hooks_t *hooks);
@@ -77,8 +77,8 @@
 /* Frees the feed; pending requests get no response. NULL is allowed. */
 void fd_destroy_feed (fd_feed_t *feed);
 
-/* Runs whatever is due and returns the time of the next call. Call it after each of the
- * functions below, too. */
+/* Runs what is due and returns the time of the next call. Call it also after each function
+ * below. */
 fb_time_t fd_run_feed (fd_feed_t *feed);
 
 /* Deliver results of the outstanding read as of POSITION of the store. TEXT is copied. */
@@ -89,8 +89,8 @@
 /* Ends the outstanding read. */
 void fd_end_read (fd_feed_t *feed, const fd_read_result_t *result);
 
-/* Handles REQUEST of another node. REQUESTER is sent a response now or later, unless
- * fd_cancel_request is called first. */
+/* Handles REQUEST of another node. REQUESTER gets a response now or later, unless
+ * fd_cancel_request comes first. */
 void fd_handle_request (fd_feed_t *feed, void *requester, const fw_feed_message_t *request);
 
 /* Drops the pending request of REQUESTER. */
@@ -102,15 +102,15 @@
 /* Ends the outstanding request, which failed for REASON. */
 void fd_fail_request (fd_feed_t *feed, const char *reason);
 
-/* Returns the newest configuration document, borrowed, and sets POSITION to its position;
- * without one the text is empty and POSITION 0. */
+/* Returns the newest configuration document, borrowed, and its POSITION; empty and 0
+ * without one. */
 fb_bytes_t fd_get_document (const fd_feed_t *feed, uint64_t *position);
 
 /* Returns whether everything has been read once. */
 bool fd_is_synced (const fd_feed_t *feed);
 
-/* Return the position of the store up to which endpoints are known, and the age in ns of the
- * known state. */
+/* Return the store position up to which endpoints are known, and the age in ns of that
+ * state. */
 uint64_t fd_get_position (const fd_feed_t *feed);
 fb_time_t fd_get_age (const fd_feed_t *feed);
 
--- a/packages/dist/source/dist-bucket.h
+++ b/packages/dist/source/dist-bucket.h
@@ -7,8 +7,8 @@
 
 typedef struct
 {
-  double rate;  /* tokens a second */
-  double burst; /* capacity of the bucket */
+  double rate; /* tokens a second */
+  double burst;
   double tokens;
   fb_time_t updated_at;
 } fd_bucket_t;
--- a/packages/dist/source/dist-document.c
+++ b/packages/dist/source/dist-document.c
@@ -45,8 +45,8 @@
   node->hooks.document_refused (version, problems, node->hooks.user);
 }
 
-/* Refuses a document that carries another number than the peer claimed. The document itself may
- * be valid, so only the pair of digest and number is recorded. */
+/* Refuses a document with another number than the peer claimed. It may be valid, so only
+ * the pair of digest and number is recorded. */
 static void
 refuse_claimed_number (fd_node_t *node, const fb_version_t *version)
 {
@@ -126,8 +126,7 @@
   return FD_DOCUMENT_REVISION_RAISED;
 }
 
-/* Checks a document that is neither in force nor refused before, and applies it if it is valid
- * and newer. */
+/* Checks a document neither in force nor refused before; applies it if valid and newer. */
 static fd_document_outcome_t
 check_document (fd_node_t *node, fb_version_t *version, fb_bytes_t document)
 {
--- a/packages/dist/source/dist-feed.c
+++ b/packages/dist/source/dist-feed.c
@@ -2,12 +2,12 @@
 #include "feed-state.h"
 #include <string.h>
 
-/* Wait of a read of changes; each read is charged for. After a lost response or a compacted
- * history a change is missed for this long, and the full read that follows takes up to 1 s on a
- * slow link; both must end within the limit for a change of the configuration. */
+/* Wait of a read of changes; each read is charged for. A lost response or compacted history
+ * hides a change for this long, and the full read after it takes up to 1 s on a slow link;
+ * both must fit the limit for a configuration change. */
 #define CHANGE_WAIT_MS 2000
 
-/* The same on a node with followers: each response tells them that they have missed nothing. */
+/* On a node with followers: each response tells them that they missed nothing. */
 #define RELAY_CHANGE_WAIT_MS 200
 
 /* Age of the known state, in poll intervals, at which a node with followers reads the store,
@@ -142,8 +142,8 @@
   return next;
 }
 
-/* Returns whether a result of the outstanding read as of POSITION may be older than an update
- * received from another node meanwhile. */
+/* Returns whether a result of the outstanding read as of POSITION may be older than an
+ * update received meanwhile. */
 static bool
 is_superseded (const fd_feed_t *feed, uint64_t position)
 {
@@ -178,9 +178,9 @@
   feed->next_read_at = 0;
 }
 
-/* Schedules the next read. A read of changes returns every document since the last one, each in
- * full. While documents are published faster than they are read, NEWEST_ONLY reads only the
- * newest one and the endpoints separately. */
+/* Schedules the next read. A read of changes returns every document since the last one in
+ * full. When they are published faster than read, NEWEST_ONLY reads only the newest, and the
+ * endpoints separately. */
 static void
 schedule_next_read (fd_feed_t *feed, bool newest_only)
 {
--- a/packages/dist/source/dist-fetch.c
+++ b/packages/dist/source/dist-fetch.c
@@ -42,8 +42,7 @@
   return order != 0 ? order > 0 : a->attempts < b->attempts;
 }
 
-/* Returns the next announcer to fetch from, or NULL; removes those that are dead or have used
- * up their attempts. */
+/* Returns the next announcer to fetch from, or NULL; removes those dead or out of attempts. */
 static fd_announcer_t *
 choose_announcer (fd_node_t *node, fb_time_t now)
 {
@@ -126,7 +125,6 @@
   start_fetch (node);
 }
 
-/* Decodes the document in MESSAGE and applies it if it is valid and newer. */
 static fd_document_outcome_t
 apply_payload (fd_node_t *node, const fw_control_t *message)
 {
@@ -149,8 +147,7 @@
   return outcome;
 }
 
-/* Accepts a document also after its fetch timed out: on a slow path all responses may be late.
- */
+/* Also accepts a document whose fetch timed out: on a slow path all may be late. */
 void
 fd_handle_document (fd_node_t *node, const fw_control_t *message)
 {
--- a/packages/dist/source/dist-join.c
+++ b/packages/dist/source/dist-join.c
@@ -56,7 +56,6 @@
   node->hooks.send (member, &message, node->hooks.user);
 }
 
-/* Returns whether all peers so far are in ZONE. */
 static bool
 are_peers_in_zone (const fd_node_t *node, const fb_name_t *zone)
 {
@@ -70,8 +69,8 @@
   return true;
 }
 
-/* Makes CANDIDATES peers, up to FD_JOIN_PEERS, and requests their summaries. While all peers
- * are in one zone, the last place is given to a candidate of another zone, if there is one. */
+/* Makes CANDIDATES peers, up to FD_JOIN_PEERS, and requests their summaries. While all are
+ * in one zone, the last place goes to another zone, if possible. */
 static void
 request_summaries (fd_node_t *node, const GPtrArray *candidates)
 {
@@ -121,8 +120,8 @@
   return false;
 }
 
-/* Starts the list fetches. One that timed out starts over at the first page, from any member,
- * because the pages of two lists do not correspond. */
+/* Starts the list fetches. After a timeout it starts over at the first page, from any
+ * member: pages of two lists do not correspond. */
 static void
 start_list_fetches (fd_node_t *node, const GPtrArray *candidates)
 {
@@ -236,9 +235,9 @@
     }
 }
 
-/* Each round replaces the peers that did not respond and adds candidates discovered meanwhile.
- * Rounds go on without any response, because a node that is cut off cannot know how old its
- * version is and must not become ready. */
+/* Each round replaces silent peers and adds new candidates. Rounds go on without any
+ * response: a node that is cut off cannot know how old its version is and must not become
+ * ready. */
 void
 fd_tick_join (fd_node_t *node)
 {
@@ -262,10 +261,10 @@
   g_ptr_array_unref (candidates);
 }
 
-/* Returns whether all peers and the source have responded, at least one peer is ready, and a
- * complete member list was received, which makes further members candidates. In a restart of
- * the whole fleet no peer is ready and the responses say nothing about newer versions, so the
- * node waits. */
+/* Returns whether all peers and the source have responded, at least one peer is ready, and
+ * a complete member list was received, which makes further members candidates. In a restart of
+ * the whole fleet no peer is ready and responses tell nothing of newer versions, so the node
+ * waits. */
 static bool
 has_caught_up (const fd_node_t *node)
 {
@@ -291,8 +290,8 @@
 
   if (node->ready || !node->started || node->snapshot == NULL)
     return;
-  /* A peer has a higher version in force, which this node may have applied before it restarted.
-   * Peers that are dead or do not deliver are removed from the announcers. */
+  /* A peer has a higher version in force, which this node may have applied before it
+   * restarted. Dead or failing peers are removed from the announcers. */
   if (node->announcer_count > 0)
     return;
   if (!has_caught_up (node)
--- a/packages/dist/source/dist-node.c
+++ b/packages/dist/source/dist-node.c
@@ -97,8 +97,7 @@
                 > FD_TICK_PERIOD + FD_PAUSE_THRESHOLD;
 }
 
-/* Called at each entry point, because a message may be handled before the first tick after a
- * pause. */
+/* Called at each entry point: a message may come before the first tick after a pause. */
 void
 fd_check_pause (fd_node_t *node)
 {
@@ -140,8 +139,7 @@
 
   fd_check_pause (node);
   sender = fm_find_member (node->members, &message->sender);
-  /* A joining node may send a request before its first datagram has arrived here; it sends it
-   * again. */
+  /* A joining node's request may precede its first datagram; it sends it again. */
   if (sender == NULL)
     {
       fb_add_counter (node->counters.unknown_senders, 1);
--- a/packages/dist/source/dist-serve.c
+++ b/packages/dist/source/dist-serve.c
@@ -27,8 +27,7 @@
 {
   fb_bytes_t document;
 
-  /* The base of a received frame may have been removed from the history when the frame was
-   * applied. */
+  /* Applying a received frame may have removed its base from the history. */
   if (find_encoding (node, base) != NULL
       || (!fd_is_zero_digest (base) && !fd_find_document (node, base, &document)))
     {
@@ -77,7 +76,7 @@
   node->hooks.send (to, &response, node->hooks.user);
 }
 
-/* Sets the payload of RESPONSE, unless there is nothing to send or the rate of full documents
+/* Sets the payload of RESPONSE, unless nothing is to be sent or the rate of full documents
  * is used up. */
 static void
 set_payload (fd_node_t *node, const fb_digest_t *requester_digest, fw_control_t *response)
--- a/packages/dist/source/dist-source.c
+++ b/packages/dist/source/dist-source.c
@@ -43,10 +43,10 @@
   return comparison.higher_count < FD_ZONE_READERS;
 }
 
-/* Returns whether the members of the zone are known well enough to choose readers. A starting
- * node knows no members and would choose itself; in a restart of the whole fleet every node
- * would then have a call open at the source. It waits until it has joined, or for
- * FD_JOIN_TIMEOUT when nobody responds. */
+/* Returns whether the zone is known well enough to choose readers. A starting node knows no
+ * members and would choose itself; in a restart of the whole fleet all would then have a call
+ * open at the source. It waits until it has joined, or for FD_JOIN_TIMEOUT when nobody
+ * responds. */
 static bool
 knows_members (const fd_node_t *node)
 {
@@ -64,8 +64,8 @@
     return;
   node->source.reader_checked_at = now;
   node->source.is_reader = knows_members (node) && is_zone_reader (node);
-  /* The index may have been reset while this node did not watch; with the old one the first
-   * read could wait its full time without seeing a new document. */
+  /* The index may have been reset meanwhile; with the old one the first read could wait its
+   * full time and miss a new document. */
   if (node->source.is_reader && !was_reader)
     node->source.index = 0;
 }
--- a/packages/dist/source/dist-state.h
+++ b/packages/dist/source/dist-state.h
@@ -39,8 +39,7 @@
 /* Interval at which a node checks whether it is a reader. */
 #define FD_READER_CHECK_PERIOD (1 * FB_SECOND)
 
-/* Peers from which a joining node requests summaries, and member lists that it fetches at one
- * time. */
+/* Peers from which a joining node requests summaries, and member lists fetched at a time. */
 #define FD_JOIN_PEERS 6
 #define FD_JOIN_LIST_FETCHES 2
 
@@ -53,8 +52,8 @@
 /* Time between two rounds of requests of a joining node, and timeout of one page. */
 #define FD_JOIN_ROUND_PERIOD (1 * FB_SECOND)
 
-/* Responses to SUMMARY_REQUEST and FETCH a second; more are dropped. 3,000 joining nodes that
- * know the same few members cost one of them at most 200 small messages a second. */
+/* Responses to SUMMARY_REQUEST and FETCH a second; more are dropped. 3,000 joining nodes
+ * that know the same few members cost one of those at most 200 small messages a second. */
 #define FD_RESPONSES_PER_S 200.0
 
 /* MEMBERS pages a second, each about 30 KB. */
@@ -73,8 +72,8 @@
   size_t length;
 } fd_history_entry_t;
 
-/* A document that is not fetched again. With NUMBER 0 it is invalid; otherwise NUMBER is one
- * that a peer claimed for it and that it does not carry. */
+/* A document not fetched again: invalid with NUMBER 0, otherwise a peer claimed NUMBER,
+ * which the document does not carry. */
 typedef struct
 {
   fb_digest_t digest;
@@ -125,7 +124,6 @@
   bool ready;
 } fd_join_peer_t;
 
-/* A fetch of one member's list, page by page. */
 typedef struct
 {
   bool active;
@@ -207,7 +205,6 @@
   fd_join_t join;
 };
 
-/* Outcome of a document received. */
 typedef enum
 {
   FD_DOCUMENT_APPLIED,         /* now in force */
@@ -228,20 +225,17 @@
  */
 fd_document_outcome_t fd_raise_revision (fd_node_t *node, const fb_version_t *version);
 
-/* Returns whether VERSION was refused before. */
 bool fd_is_refused (const fd_node_t *node, const fb_version_t *version);
 
 /* Finds the document with DIGEST, in force or in the history; DOCUMENT is borrowed. */
 bool fd_find_document (const fd_node_t *node, const fb_digest_t *digest, fb_bytes_t *document);
 
-/* Frees the document in force and the history. */
 void fd_clear_documents (fd_node_t *node);
 
 /* Removes the cached encodings, which belong to the version in force. */
 void fd_clear_encodings (fd_node_t *node);
 
-/* Caches FRAME, which it takes ownership of, as the encoding of the document in force against
- * BASE. */
+/* Caches FRAME, taking ownership, as the encoding of the document in force against BASE. */
 void fd_cache_encoding (fd_node_t *node, const fb_digest_t *base, uint8_t *frame,
                         size_t length);
 
@@ -266,33 +260,24 @@
 /* Starts a join: the node is not ready until it has caught up. */
 void fd_start_join (fd_node_t *node);
 
-/* Handle the responses of peers during a join. */
 void fd_handle_join_summary (fd_node_t *node, const fw_control_t *message);
 void fd_handle_join_members (fd_node_t *node, const fw_control_t *message);
 
-/* Sends the requests of a join that are due. */
 void fd_tick_join (fd_node_t *node);
 
-/* Makes the node ready when its join is complete. */
 void fd_update_ready (fd_node_t *node);
 
-/* Reads the source when due. */
 void fd_tick_source (fd_node_t *node);
 
-/* Checks whether this node is a reader. */
 void fd_update_reader (fd_node_t *node);
 
-/* Returns whether the process was paused since the last tick. */
 bool fd_is_paused (const fd_node_t *node);
 
-/* Starts a join when the process was paused. */
 void fd_check_pause (fd_node_t *node);
 
-/* Returns a message of KIND from this node. */
 fw_control_t fd_make_message (const fd_node_t *node, fw_control_kind_t kind,
                               uint64_t request_id);
 
-/* Returns the id of a new request. */
 uint64_t fd_next_request_id (fd_node_t *node);
 
 /* Returns whether DIGEST is the zero digest, which stands for no document. */
--- a/packages/dist/source/feed-relay.c
+++ b/packages/dist/source/feed-relay.c
@@ -1,6 +1,6 @@
-/* Following another node. In each zone the nodes with the highest rendezvous weights read the
- * store, and each other node requests updates from one of them, its relay. A node that receives
- * requests reads the store whatever its own weight is. */
+/* Following another node. In each zone the nodes with the highest rendezvous weights read
+ * the store; each other one requests updates from one of them, its relay. A node that gets
+ * requests reads the store whatever its weight. */
 #include "feed-state.h"
 #include <string.h>
 
@@ -18,10 +18,9 @@
 /* Time between two choices of a relay while none is available. */
 #define RELAY_CHOICE_PERIOD FB_SECOND
 
-/* Delay between a failed request and the request to the next relay. */
 #define RELAY_RETRY_DELAY (100 * FB_MILLISECOND)
 
-/* Poll intervals for which a node counts as followed after the last request it received. */
+/* Poll intervals for which a node counts as followed after its last received request. */
 #define FOLLOWED_INTERVALS 3
 
 static fb_time_t
@@ -192,7 +191,7 @@
     set_relay (feed, &no_relay, "no relay available", now);
 }
 
-/* Records a failed request, so that the next choice is another relay. */
+/* So that the next choice is another relay. */
 static void
 handle_relay_failure (fd_feed_t *feed, const char *reason)
 {
@@ -225,7 +224,6 @@
     fm_end_full_read (feed->listing);
 }
 
-/* Applies the document delta in UPDATE, or schedules a read of the document. */
 static void
 update_document (fd_feed_t *feed, const fw_feed_message_t *update)
 {
@@ -249,8 +247,8 @@
   feed->document_known_position = MAX (feed->document_known_position, update->position);
 }
 
-/* Returns, by this node's clock, the time up to which UPDATE is complete. The round trip less
- * the wait at the relay is assumed to be the time of the way back, the worst case. */
+/* Returns, by this node's clock, the time up to which UPDATE is complete. The round trip
+ * less the wait at the relay is taken for the way back, the worst case. */
 static fb_time_t
 get_known_at (const fd_feed_t *feed, const fw_feed_message_t *update, fb_time_t now)
 {
@@ -346,8 +344,8 @@
   g_array_free (endpoints, TRUE);
 }
 
-/* Returns whether PENDING can be responded to: there is a change, or a read that ended after
- * its arrival has shown that there is none. */
+/* Returns whether PENDING can be responded to: a change exists, or a read that ended after
+ * its arrival showed none. */
 static bool
 can_respond (const fd_feed_t *feed, const fd_pending_request_t *pending, fb_time_t now)
 {
--- a/packages/dist/source/feed-state.h
+++ b/packages/dist/source/feed-state.h
@@ -7,13 +7,12 @@
 
 #define FD_FEED_LOG_SERVICE "source"
 
-/* Documents stored, the newest included, as bases of deltas for followers. */
+/* Documents stored as bases of deltas, the newest included. */
 #define FD_DOCUMENTS_MAX 4
 
 /* Relays avoided at one time. */
 #define FD_AVOIDED_RELAYS_MAX 8
 
-/* A configuration document at one position of the store. */
 typedef struct
 {
   uint64_t position;
@@ -22,7 +21,6 @@
   GBytes *delta; /* from this document to the newest; NULL until needed */
 } fd_document_t;
 
-/* A relay that failed a request. */
 typedef struct
 {
   fb_name_t address;
@@ -95,33 +93,30 @@
  * stored already. */
 bool fd_add_document (fd_feed_t *feed, uint64_t position, fb_bytes_t text);
 
-/* Returns the delta from the document of POSITION to the newest one, borrowed; empty when that
- * document is not stored or the delta is too large to be sent. */
+/* Returns the delta from the document of POSITION to the newest one, borrowed; empty when
+ * that document is not stored or the delta too large to send. */
 fb_bytes_t fd_find_delta (fd_feed_t *feed, uint64_t position);
 
-/* Decodes DELTA against the newest document and adds the result as the document of POSITION;
- * returns false unless the result has DIGEST. */
+/* Decodes DELTA against the newest document and adds the result at POSITION; false unless
+ * it has DIGEST. */
 bool fd_apply_delta (fd_feed_t *feed, uint64_t position, const fb_digest_t *digest,
                      fb_bytes_t delta);
 
-/* Frees the documents. */
 void fd_clear_feed_documents (fd_feed_t *feed);
 
 /* feed-relay.c */
 
-/* Chooses the relay and sends it a request, when due. */
 void fd_update_relay (fd_feed_t *feed, fb_time_t now);
 
 /* Returns whether a request may be sent: everything was read, and no request is outstanding. */
 bool fd_can_request (const fd_feed_t *feed);
 
-/* Returns whether another node supplies this one with updates. */
+/* Whether another node sends this one updates. */
 bool fd_is_following (const fd_feed_t *feed, fb_time_t now);
 
-/* Returns whether other nodes follow this one. */
 bool fd_has_followers (const fd_feed_t *feed, fb_time_t now);
 
-/* Responds to the pending requests that need not wait any longer. */
+/* Responds to pending requests that need not wait longer. */
 void fd_respond_to_requests (fd_feed_t *feed);
 
 #endif
--- a/packages/dist/tests/fixture-feed.c
+++ b/packages/dist/tests/fixture-feed.c
@@ -20,11 +20,9 @@
   fd_feed_t *feed;
   fb_time_t run_at;
   fw_member_state_t known_states[FEED_NODES_MAX];
-  /* The outstanding read. */
   bool read_outstanding;
   fd_read_t read;
   fb_time_t read_end_at;
-  /* The outstanding request. */
   size_t relay; /* FEED_NODES_MAX before the first request */
   bool request_outstanding;
   fb_time_t request_sent_at;
--- a/packages/dist/tests/fixture-feed.h
+++ b/packages/dist/tests/fixture-feed.h
@@ -29,7 +29,6 @@
 
 void feed_destroy_fleet (fleet_t *fleet);
 
-/* Runs the fleet for TIME. */
 void feed_advance (fleet_t *fleet, fb_time_t time);
 
 void feed_set_fault (fleet_t *fleet, size_t node, feed_fault_t fault);
@@ -46,19 +45,16 @@
 
 void feed_publish (fleet_t *fleet, const char *text);
 
-/* Returns the node to which NODE has an outstanding request, or FEED_NODES_MAX without one. */
+/* Returns the node that NODE's outstanding request went to; FEED_NODES_MAX without one. */
 size_t feed_get_relay (const fleet_t *fleet, size_t node);
 
-/* Returns the state of OTHER as known to NODE, FW_DEAD when it is unknown. */
+/* Returns the state of OTHER as known to NODE; FW_DEAD when unknown. */
 fw_member_state_t feed_get_state (const fleet_t *fleet, size_t node, size_t other);
 
-/* Returns the state of the endpoint of NODE in the store. */
 fw_member_state_t feed_get_endpoint_state (const fleet_t *fleet, size_t node);
 
-/* Returns whether NODE has the newest document. */
 bool feed_has_newest_document (const fleet_t *fleet, size_t node);
 
-/* Returns whether NODE has no fault. */
 bool feed_is_healthy (const fleet_t *fleet, size_t node);
 
 /* Return the number of reads of the store by all nodes, and of those of the document alone. */
--- a/packages/dist/tests/fixture-node.h
+++ b/packages/dist/tests/fixture-node.h
@@ -44,7 +44,6 @@
 size_t count_sent (const node_fixture_t *fixture, fw_control_kind_t kind);
 uint64_t get_count (node_fixture_t *fixture, const char *name);
 
-/* Returns the version of DOCUMENT under NUMBER and REVISION. */
 fb_version_t describe_version (GBytes *document, uint64_t number, uint64_t revision);
 
 /* End the outstanding read of the source. */
--- a/packages/dist/tests/test-document.c
+++ b/packages/dist/tests/test-document.c
@@ -43,9 +43,8 @@
   g_bytes_unref (current);
 }
 
-/* Guards against a document that is applied twice, or a revision that falls, when it is
- * published again; and against a false claim that gives the document in force another number.
- */
+/* Guards against a document applied twice, or a revision that falls, when it is published
+ * again, and a false claim that gives the document in force another number. */
 static void
 test_raised_revision (void)
 {
@@ -73,7 +72,7 @@
 }
 
 /* Guards against an outage, an emptied source or an old value that reverts the version in
- * force, and against calls to a failing source beyond the rate limit. */
+ * force, and calls to a failing source beyond the rate limit. */
 static void
 test_source_outcomes (void)
 {
--- a/packages/dist/tests/test-feed.c
+++ b/packages/dist/tests/test-feed.c
@@ -203,8 +203,8 @@
     }
 }
 
-/* Guards against endpoints that are removed in an outage of the store although they are
- * listed again afterwards, and against ones that stay although they are not. */
+/* Guards against endpoints removed in an outage of the store although listed again
+ * afterwards, and ones that stay although they are not. */
 static void
 test_outage (void)
 {
@@ -241,8 +241,8 @@
   return text;
 }
 
-/* Guards against full configurations sent between nodes, and against reads of a configuration
- * that a delta would bring. */
+/* Guards against full configurations sent between nodes, and reads of one that a delta
+ * would bring. */
 static void
 test_documents (void)
 {
@@ -276,9 +276,8 @@
   feed_destroy_fleet (fleet);
 }
 
-/* Guards against changes that arrive late, or are reverted by older updates, while nodes and
- * the store fail at random. A change is checked when its deadline has passed without further
- * faults. */
+/* Guards against changes that arrive late, or are reverted by older updates, while nodes
+ * and store fail at random. A change is checked after its deadline without further faults. */
 static void
 run_random (uint32_t seed)
 {
--- a/packages/dist/tests/test-fleet.c
+++ b/packages/dist/tests/test-fleet.c
@@ -1,5 +1,5 @@
-/* Random runs of complete nodes under faults. SEEDS=N runs seeds 1 to N instead of the default,
- * SEED=N only seed N. The stand-in fleet checks the invariants after every step. */
+/* Random runs of complete nodes under faults. SEEDS=N runs seeds 1 to N, SEED=N only seed
+ * N. The stand-in fleet checks the invariants after every step. */
 #include "fleet.h"
 #include <signal.h>
 #include <stdio.h>
@@ -87,7 +87,6 @@
     sf_kill_host (run->fleet, index);
 }
 
-/* Restarts all processes at once. */
 static void
 restart_fleet (run_t *run)
 {
@@ -247,7 +246,7 @@
   abort ();
 }
 
-/* Each zone has two readers, or as many as it has running nodes. Returns their number. */
+/* Each zone has two readers, or as many as running nodes. Returns their number. */
 static size_t
 check_readers (const sf_fleet_t *fleet)
 {
@@ -361,8 +360,8 @@
   fb_destroy_counters (measurements.totals);
 }
 
-/* Guards against a restart of the whole fleet in which the nodes read the source at the same
- * moment or more than once, or in which all stay readers because they know no other members. */
+/* Guards against a restart of the whole fleet in which nodes read the source at the same
+ * moment or more than once, or all stay readers because they know no other members. */
 static void
 test_restart_reads (void)
 {
--- a/packages/dist/tests/test-join.c
+++ b/packages/dist/tests/test-join.c
@@ -1,9 +1,9 @@
-/* When a node becomes ready, from which peers it requests summaries and how many requests it
+/* When a node becomes ready, which peers it asks for summaries, and how many requests it
  * responds to. */
 #include "fixture-node.h"
 
-/* Guards against a node that accepts calls before it has caught up, and against one that never
- * becomes ready although its join is complete. */
+/* Guards against a node that accepts calls before it has caught up, or never becomes ready
+ * although its join is complete. */
 static void
 test_join_rule (void)
 {
@@ -136,8 +136,8 @@
   destroy_fixture (fixture);
 }
 
-/* Guards against joining nodes that overload one node with requests, and against a node that
- * does not serve its document while it is not ready. */
+/* Guards against joining nodes that overload one node with requests, and a node that does
+ * not serve its document while not ready. */
 static void
 test_response_limits (void)
 {
--- a/packages/member/include/foxtailrun/member/listing.h
+++ b/packages/member/include/foxtailrun/member/listing.h
@@ -1,5 +1,5 @@
-/* Endpoints listed by a platform. Removals are delayed while the list cannot be read and for a
- * grace period after that, since endpoints that expired meanwhile are registered again. */
+/* Endpoints listed by a platform. Removals wait while the list cannot be read and for a
+ * grace period after, since endpoints that expired meanwhile are registered again. */
 #ifndef FOXTAILRUN_MEMBER_LISTING_H
 #define FOXTAILRUN_MEMBER_LISTING_H
 
@@ -9,7 +9,7 @@
 /* Time for which removals are delayed after the source is available again. */
 #define FM_RELIST_GRACE (2 * FB_SECOND)
 
-/* An endpoint was listed or has changed; its state is FW_DEAD when it is no longer listed. */
+/* An endpoint was listed or changed; FW_DEAD when no longer listed. */
 typedef void (*fm_endpoint_fn_t) (const fw_endpoint_t *endpoint, void *user);
 
 typedef struct fm_listing fm_listing_t;
@@ -23,11 +23,11 @@
 /* Adds or updates one endpoint; ENDPOINT is copied. */
 void fm_add_endpoint (fm_listing_t *listing, const fw_endpoint_t *endpoint);
 
-/* Removes the endpoint ID, whose description in the source was deleted or is no longer one of
- * an endpoint; until the listing is settled it is only marked as missing. */
+/* Removes the endpoint ID, whose description was deleted or no longer describes an
+ * endpoint; only marks it missing until the listing is settled. */
 void fm_remove_endpoint (fm_listing_t *listing, const fb_name_t *id);
 
-/* Begin and end a read of the complete list: endpoints not added in between are removed. */
+/* Begin and end a full read: endpoints not added in between are removed. */
 void fm_begin_full_read (fm_listing_t *listing);
 void fm_end_full_read (fm_listing_t *listing);
 
@@ -35,21 +35,21 @@
 void fm_mark_source_unavailable (fm_listing_t *listing);
 void fm_mark_source_available (fm_listing_t *listing);
 
-/* Removes missing endpoints once the listing is settled; call it about every 100 ms. */
+/* Removes missing endpoints once the listing is settled; call about every 100 ms. */
 void fm_tick_listing (fm_listing_t *listing);
 
-/* Returns the number of endpoints, including missing ones that are not yet removed. */
+/* Returns the number of endpoints, including missing ones not yet removed. */
 size_t fm_count_endpoints (const fm_listing_t *listing);
 
 /* Returns whether the source is available and the grace period is over. */
 bool fm_is_listing_settled (const fm_listing_t *listing);
 
-/* Returns the sequence number of the last reported change, counted from 1; 0 for none. */
+/* Returns the last reported change's sequence number, from 1; 0 for none. */
 uint64_t fm_get_listing_sequence (const fm_listing_t *listing);
 
-/* Calls VISIT for each endpoint that changed after SEQUENCE, removed ones as FW_DEAD; a
- * SEQUENCE of 0 visits all listed endpoints. Returns false, without a visit, when the record of
- * a removal after SEQUENCE has been discarded. */
+/* Calls VISIT for each endpoint that changed after SEQUENCE, removed ones as FW_DEAD;
+ * SEQUENCE 0 visits all listed ones. Returns false, without a visit, when the record of a
+ * later removal has been discarded. */
 bool fm_visit_listing_changes (const fm_listing_t *listing, uint64_t sequence,
                                fm_endpoint_fn_t visit, void *user);
 
--- a/packages/member/include/foxtailrun/member/table.h
+++ b/packages/member/include/foxtailrun/member/table.h
@@ -24,14 +24,14 @@
 {
   /* Sends one datagram; DATAGRAM is borrowed. */
   void (*send) (const fb_name_t *address, uint16_t port, fb_bytes_t datagram, void *user);
-  /* A member, or this node itself, was added or changed; PREVIOUS is NULL for a new one. Must
-   * not change the table, except by fm_set_version. May be NULL. */
+  /* A member or this node was added or changed; PREVIOUS is NULL for a new one. Must not
+   * change the table, except by fm_set_version. May be NULL. */
   void (*changed) (const fw_member_t *member, const fw_member_t *previous, void *user);
   /* SENDER has VERSION in force; called last for each datagram received. May be NULL. */
   void (*summary_received) (const fw_member_t *sender, const fb_version_t *version, void *user);
-  /* The member list has differed from PEER's for longer than updates take to spread: request
-   * PEER's list and pass its pages to fm_merge_members. Called at most every 10 s; must not
-   * change the table. May be NULL. */
+  /* The list has differed from PEER's for longer than updates spread: request PEER's and
+   * pass its pages to fm_merge_members. Called at most every 10 s; must not change the table.
+   * May be NULL. */
   void (*diverged) (const fw_member_t *peer, void *user);
   /* The host list requires this host to leave: drain, then call fm_announce_leaving. Must not
    * change the table. May be NULL. */
@@ -44,8 +44,8 @@
 fm_options_t fm_get_default_options (void);
 
 /* Creates a table for SELF (state FW_ALIVE); CLOCK and COUNTERS are borrowed, HOOKS and
- * OPTIONS are copied, NULL OPTIONS stand for the defaults. SEED seeds the random numbers.
- * Destroy with fm_destroy_table. */
+ * OPTIONS copied, NULL OPTIONS mean defaults. SEED starts the random numbers. Destroy with
+ * fm_destroy_table. */
 fm_table_t *fm_create_table (const fw_member_t *self, const fm_options_t *options,
                              uint32_t seed, const fb_clock_t *clock, fb_counters_t *counters,
                              const fm_hooks_t *hooks);
@@ -53,36 +53,36 @@
 /* Frees the table; NULL is allowed. */
 void fm_destroy_table (fm_table_t *table);
 
-/* Handles one received datagram; returns FB_INVALID and counts it when it is malformed. */
+/* Handles a received datagram; returns FB_INVALID and counts it when malformed. */
 fb_status_t fm_handle_datagram (fm_table_t *table, fb_bytes_t bytes);
 
-/* Runs probes, gossip and deadlines that are due; call it at least every gossip period. */
+/* Runs due probes, gossip and deadlines; call at least every gossip period. */
 void fm_tick (fm_table_t *table);
 
 /* Pings an address that may belong to an unknown member. */
 void fm_probe_address (fm_table_t *table, const fb_name_t *address, uint16_t port);
 
-/* Merges COUNT member descriptions from a peer's list or the host list. The host list has no
- * incarnations: a description with incarnation 0 is not merged, but its address is pinged when
- * the id is unknown. */
+/* Merges COUNT member descriptions from a peer's list or the host list. The host list has
+ * no incarnations: incarnation 0 is not merged, but its address is pinged when the id is
+ * unknown. */
 void fm_merge_members (fm_table_t *table, const fw_member_t *members, size_t count);
 
 /* Sets the version that outgoing datagrams carry. */
 void fm_set_version (fm_table_t *table, const fb_version_t *version);
 
-/* Sends the version at once to 4 members: two in this node's zone, one in another zone and one
- * in another region. */
+/* Sends the version at once to 4 members: two in this zone, one in another zone, one in
+ * another region. */
 void fm_announce_version (fm_table_t *table);
 
 /* Marks this node as leaving and sends the update at once. */
 void fm_announce_leaving (fm_table_t *table);
 
-/* Marks member ID as leaving because the host list requires it: it receives no new work, and
- * the update is queued for gossip. The member itself is notified by its leave_requested hook.
- * Does nothing for an unknown or dead member. */
+/* Marks member ID as leaving because the host list requires it: it gets no new work, and
+ * the update is queued for gossip. The member learns it by its leave_requested hook. Ignores
+ * an unknown or dead member. */
 void fm_mark_leaving (fm_table_t *table, const fb_name_t *id);
 
-/* Raises this node's incarnation and spreads it; for use after the process was paused. */
+/* Raises and spreads this node's incarnation, after the process was paused. */
 void fm_raise_incarnation (fm_table_t *table);
 
 /* Returns this node's own description; owned by the table. */
@@ -95,7 +95,7 @@
 /* Returns the number of members in STATE, this node included. */
 size_t fm_count_members (const fm_table_t *table, fw_member_state_t state);
 
-/* Returns a digest of the ids, incarnations and states of all members that are not dead. */
+/* Returns a digest of ids, incarnations and states of all members not dead. */
 uint64_t fm_digest_members (const fm_table_t *table);
 
 /* Receives one member; returns false to stop the visit. */
--- a/packages/member/source/member-datagram.c
+++ b/packages/member/source/member-datagram.c
@@ -5,15 +5,14 @@
  * less. */
 #define DIVERGENCE_DELAY (5 * FB_SECOND)
 
-/* Shortest time between two fetches. */
 #define DIVERGENCE_FETCH_INTERVAL (10 * FB_SECOND)
 
-/* Time without a matching digest after which a list is fetched even if the local one changes;
- * also the age at which a recorded peer digest is replaced. */
+/* Time without a matching digest after which a list is fetched even if the local one
+ * changes, and a recorded peer digest is replaced. */
 #define DIVERGENCE_DELAY_MAX (60 * FB_SECOND)
 
-/* Returns whether the member list has differed from those of peers for too long; DIGEST is a
- * received digest that differs. Before DIVERGENCE_DELAY_MAX a difference counts only while the
+/* Returns whether the list has differed from those of peers for too long; DIGEST is a
+ * received one that differs. Before DIVERGENCE_DELAY_MAX a difference counts only while the
  * local list is unchanged: a spreading update makes digests differ for a second or two. */
 static bool
 is_diverged (fm_table_t *table, uint64_t digest, fb_time_t now)
@@ -57,8 +56,8 @@
   return true;
 }
 
-/* Sends corrections to the sender of a datagram that needs no reply. The limit of one in each
- * gossip period bounds the cost of senders with many outdated updates. */
+/* Sends corrections to the sender of a datagram that needs no reply. One per gossip period
+ * bounds the cost of senders with many outdated updates. */
 static void
 send_correction (fm_table_t *table, const fw_datagram_t *datagram,
                  const fm_priority_updates_t *priority)
--- a/packages/member/source/member-index.c
+++ b/packages/member/source/member-index.c
@@ -1,5 +1,4 @@
-/* Indexes of the entries by id, probe order, service and deadline, with the digest and the
- * counts that are updated with them. */
+/* Indexes of the entries by id, probe order, service and deadline, with digest and counts. */
 #include "member-table.h"
 #include <foxtailrun/base/digest.h>
 #include <foxtailrun/base/invariant.h>
--- a/packages/member/source/member-listing.c
+++ b/packages/member/source/member-listing.c
@@ -4,7 +4,7 @@
 #include <glib.h>
 #include <string.h>
 
-/* Largest number of removal records for fm_visit_listing_changes: about a quarter of a fleet of
+/* Limit of removal records for fm_visit_listing_changes: about a quarter of a fleet of
  * 1,000 being replaced. */
 #define REMOVED_ENDPOINTS_MAX 256
 
@@ -220,8 +220,8 @@
 
   if (sequence > 0 && sequence < listing->discarded_sequence)
     return false;
-  /* Removals come first: an id that was listed again after a removal is visited in both loops,
-   * and the last visit applies. */
+  /* Removals come first: an id listed again is visited in both loops, and the last visit
+   * applies. */
   for (const GList *link = listing->removed.head; link && sequence > 0; link = link->next)
     {
       const removed_t *removed = link->data;
--- a/packages/member/source/member-probe.c
+++ b/packages/member/source/member-probe.c
@@ -1,7 +1,7 @@
 /* Failure detection: probes one member in each period, first directly, then through others. */
 #include "member-table.h"
 
-/* Time between pings to dead members; they reconnect the sides of a healed partition. */
+/* Between pings to dead members, which reconnect a healed partition. */
 #define DEAD_PROBE_PERIOD (3 * FB_SECOND)
 
 static void
@@ -89,7 +89,7 @@
 {
   fm_entry_t *target = fm_find_entry (table, &table->probe.id);
 
-  /* The ping was sent to an earlier incarnation of a member that has restarted since. */
+  /* The ping went to an earlier incarnation; the member has restarted since. */
   if (!target || target->member.state == FW_DEAD
       || target->member.incarnation != table->probe.incarnation)
     {
@@ -102,7 +102,7 @@
     return;
   table->probe.active = false;
   fb_add_counter (table->counters.probes_failed, 1);
-  /* The suspicion timeout is set before the health changes: one dead target does not indicate
+  /* Set the suspicion timeout before the health changes: one dead target does not indicate
    * poor local health. */
   fm_suspect_entry (table, target);
   adjust_health (table, 1);
--- a/packages/member/source/member-queue.c
+++ b/packages/member/source/member-queue.c
@@ -3,12 +3,11 @@
 #include <foxtailrun/base/invariant.h>
 #include <string.h>
 
-/* Older changes are not sent to a receiver whose member list differs; it gets them by a list
- * exchange. */
+/* A receiver whose list differs gets older changes by a list exchange. */
 #define RECENT_CHANGE_AGE_MAX (30 * FB_SECOND)
 
-/* Returns the number of transmissions of each update: FM_BASE_TRANSMISSIONS plus log2 of the
- * number of members that are not dead. */
+/* Returns the transmissions of each update: FM_BASE_TRANSMISSIONS plus log2 of the members
+ * not dead. */
 static uint32_t
 get_transmission_limit (const fm_table_t *table)
 {
@@ -64,7 +63,6 @@
     }
 }
 
-/* Counts one transmission of ENTRY and removes it from the queue at the limit. */
 static void
 count_transmission (fm_table_t *table, fm_entry_t *entry)
 {
@@ -146,7 +144,7 @@
 {
   guint members = table->probe_order->len;
 
-  /* Following the shuffled probe order sends each copy of an update to a different member. */
+  /* The shuffled probe order sends each copy of an update to a different member. */
   for (uint32_t i = 0; i < table->options.gossip_fanout && i < members; i++)
     {
       if (table->queued_count == 0)
--- a/packages/member/source/member-table.c
+++ b/packages/member/source/member-table.c
@@ -34,8 +34,8 @@
     counters->states[i] = fb_find_counter (registry, "members", states[i]);
 }
 
-/* Restarts probes and suspicions after a pause of GAP, in which no datagram was handled, and
- * extends the retention of dead members by GAP. */
+/* Restarts probes and suspicions after a pause of GAP without datagrams, and extends the
+ * retention of dead members by GAP. */
 static void
 resume_after_pause (fm_table_t *table, fb_time_t now, fb_time_t gap)
 {
@@ -49,7 +49,6 @@
     }
 }
 
-/* Location of a member relative to this node. */
 typedef enum
 {
   SAME_ZONE,
@@ -78,9 +77,8 @@
   return false;
 }
 
-/* Sends the version to up to LIMIT members in PLACEMENT that are not among the COUNT members of
- * CHOSEN, and appends them to CHOSEN; returns the new count. The search starts at a random
- * member. */
+/* Sends the version to up to LIMIT members in PLACEMENT not among the COUNT of CHOSEN, and
+ * appends them to it; returns the new count. Starts at a random member. */
 static size_t
 announce_to (fm_table_t *table, placement_t placement, size_t limit, const fm_entry_t **chosen,
              size_t count)
--- a/packages/member/source/member-table.h
+++ b/packages/member/source/member-table.h
@@ -5,19 +5,19 @@
 #include <foxtailrun/member/table.h>
 #include <glib.h>
 
-/* Higher incarnations are refused, so that no update can raise a node's incarnation to a value
- * above which it cannot refute. Start times in milliseconds stay far below. */
+/* Higher incarnations are refused, so that no update can raise a node's incarnation beyond
+ * refutation. Start times in milliseconds stay far below. */
 #define FM_INCARNATION_MAX ((uint64_t)1 << 53)
 
-/* Largest number of members, several times the target fleet; bounds the memory that invalid
- * updates can allocate. */
+/* Limit of members, several times the target fleet; bounds the memory that invalid updates
+ * can allocate. */
 #define FM_MEMBERS_MAX 16384
 
 /* Transmissions of one update beyond log2 of the number of members. */
 #define FM_BASE_TRANSMISSIONS 3
 
-/* Number of queues, one for each transmission count: FM_BASE_TRANSMISSIONS plus log2 of
- * FM_MEMBERS_MAX, and one. */
+/* Queues, one per transmission count: FM_BASE_TRANSMISSIONS plus log2 of FM_MEMBERS_MAX,
+ * and one. */
 #define FM_QUEUE_COUNT 18
 
 /* Largest number of unanswered pings sent on behalf of other members. */
@@ -99,10 +99,10 @@
   GPtrArray *probe_order; /* members to probe: all but this node and the dead */
   guint probe_cursor;     /* entries before it were probed in this round */
   GPtrArray *dead;        /* dead members that are retained */
-  GPtrArray *timed;       /* entries with a deadline */
-  GHashTable *services;   /* fb_name_t in the service -> fm_service_t, owned */
+  GPtrArray *timed;
+  GHashTable *services; /* fb_name_t in the service -> fm_service_t, owned */
   size_t state_counts[FW_DEAD + 1];
-  uint64_t digest;
+  uint64_t digest; /* contribution to the members digest */
   fb_time_t digest_changed_at;
 
   GQueue queues[FM_QUEUE_COUNT]; /* updates to send, by transmission count */
@@ -129,7 +129,6 @@
   fb_time_t next_divergence_at;
 };
 
-/* Source of an update. */
 typedef enum
 {
   FM_SOURCE_SUBJECT,  /* the member describes itself */
@@ -138,7 +137,7 @@
   FM_SOURCE_DETECTOR, /* this node's own probes and timers */
 } fm_source_t;
 
-/* Updates addressed to the receiver of one datagram, sent ahead of the queued ones. */
+/* Updates for the receiver of one datagram, sent before the queued ones. */
 typedef struct
 {
   size_t count;
@@ -154,25 +153,22 @@
 fm_entry_t *fm_insert_entry (fm_table_t *table, const fw_member_t *member);
 /* Replaces the description of ENTRY and updates every index. */
 void fm_replace_entry (fm_table_t *table, fm_entry_t *entry, const fw_member_t *member);
-/* Removes and frees ENTRY. */
 void fm_remove_entry (fm_table_t *table, fm_entry_t *entry);
 /* Sets the deadline of ENTRY; 0 removes it. */
 void fm_set_deadline (fm_table_t *table, fm_entry_t *entry, fb_time_t deadline);
-/* Makes ENTRY the next member to be probed. */
 void fm_set_next_probe_target (fm_table_t *table, fm_entry_t *entry);
 void fm_create_indexes (fm_table_t *table);
 void fm_destroy_indexes (fm_table_t *table);
 
 /* member-queue.c */
 
-/* Queues the current state of ENTRY for transmission and makes it the most recent change. */
+/* Queues the state of ENTRY for transmission, as the most recent change. */
 void fm_queue_entry (fm_table_t *table, fm_entry_t *entry);
 void fm_dequeue_entry (fm_table_t *table, fm_entry_t *entry);
 /* Sends one datagram with as many updates as fit; TARGET and PRIORITY may be NULL. */
 void fm_send_datagram (fm_table_t *table, fw_datagram_kind_t kind, uint64_t sequence,
                        const fb_name_t *address, uint16_t port, const fb_name_t *target,
                        const fm_priority_updates_t *priority);
-/* Sends a GOSSIP datagram to a member. */
 void fm_send_gossip (fm_table_t *table, const fm_entry_t *to,
                      const fm_priority_updates_t *priority);
 /* Sends the queued updates, if any, to the next gossip_fanout members. */
@@ -180,18 +176,16 @@
 
 /* member-update.c */
 
-/* Applies one update by the override rules. When UPDATE is a suspicion or death that a known
- * entry overrides, the entry is added to PRIORITY, which may be NULL. */
+/* Applies one update by the override rules. A known entry that overrides a suspicion or
+ * death is added to PRIORITY, which may be NULL. */
 void fm_apply_update (fm_table_t *table, const fw_member_t *update, fm_source_t source,
                       fm_priority_updates_t *priority);
 /* Calls the leave_requested hook if this node is alive. */
 void fm_request_leaving (fm_table_t *table);
-/* Suspects ENTRY after a failed probe. */
 void fm_suspect_entry (fm_table_t *table, fm_entry_t *entry);
 /* Changes the incarnation and state of this node and queues the update. */
 void fm_change_self (fm_table_t *table, uint64_t incarnation, fw_member_state_t state);
-/* Declares members dead whose suspicion has expired, and removes dead members after their
- * retention. */
+/* Declares members dead after their suspicion, and removes dead ones after their retention. */
 void fm_run_deadlines (fm_table_t *table, fb_time_t now);
 /* Adds ENTRY to PRIORITY; does nothing when PRIORITY is full. */
 void fm_add_priority_update (fm_priority_updates_t *priority, const fm_entry_t *entry);
@@ -200,7 +194,6 @@
 
 /* member-probe.c */
 
-/* Runs the probes that are due. */
 void fm_run_probes (fm_table_t *table, fb_time_t now);
 /* Handles an ACK: ends the outstanding probe, or forwards the ACK to a requester. */
 void fm_handle_ack (fm_table_t *table, const fw_datagram_t *datagram);
--- a/packages/member/source/member-update.c
+++ b/packages/member/source/member-update.c
@@ -41,7 +41,7 @@
   report_change (table, entry, &previous);
 }
 
-/* Shortest time between two refutations of another process with this node's id; without a limit
+/* Shortest time between two refutations of another process with this node's id; otherwise
  * the two would refute each other endlessly and load the entire fleet. */
 #define CONFLICT_REFUTATION_INTERVAL FB_SECOND
 
@@ -80,8 +80,8 @@
 
   if (!fw_overrides (update, self))
     return;
-  /* This process has not announced its leaving, so another node read in the host list that this
-   * node must leave (see fm_mark_leaving). */
+  /* Not announced by this process: another node read it in the host list (see
+   * fm_mark_leaving). */
   if (update->state == FW_LEAVING && update->incarnation == self->incarnation)
     {
       fm_request_leaving (table);
@@ -125,14 +125,13 @@
   report_change (table, entry, NULL);
 }
 
-/* Restricts UPDATE, a suspicion or death of a member that is alive here under the same
- * incarnation, to what SOURCE permits; returns false when it must not be applied. */
+/* Restricts UPDATE, a suspicion or death of a member alive here under the same incarnation,
+ * to what SOURCE permits; false when it must not be applied. */
 static bool
 restrict_suspicion_or_death (fm_table_t *table, fm_entry_t *entry, fw_member_t *update,
                              fm_source_t source)
 {
-  /* After a partition, lists of the other side declare all members of this side dead. Probe the
-   * member instead. */
+  /* After a partition, lists of the other side declare this side dead: probe instead. */
   if (source == FM_SOURCE_LIST)
     {
       fm_set_next_probe_target (table, entry);
--- a/packages/member/tests/fixture-fleet.c
+++ b/packages/member/tests/fixture-fleet.c
@@ -90,7 +90,6 @@
   return true;
 }
 
-/* Responds to a request for the member list, or merges a received list. */
 static void
 handle_list (fleet_node_t *node, size_t from, fb_bytes_t bytes)
 {
@@ -152,7 +151,6 @@
     }
 }
 
-/* State of one pass over the members of a table. */
 typedef struct
 {
   fleet_node_t *node;
--- a/packages/member/tests/fixture-fleet.h
+++ b/packages/member/tests/fixture-fleet.h
@@ -1,5 +1,5 @@
-/* Membership tables on the simulated network, with the true state of each node and invariants
- * that are checked after every step. */
+/* Membership tables on the simulated network, with each node's true state and invariants
+ * checked after every step. */
 #ifndef FIXTURE_FLEET_H
 #define FIXTURE_FLEET_H
 
@@ -61,8 +61,8 @@
 void fleet_resume (fleet_t *fleet, size_t node);
 void fleet_leave (fleet_t *fleet, size_t node);
 
-/* Returns whether all running tables list exactly the running members as alive or leaving, and
- * have equal digests; otherwise describes a difference in REASON, a buffer of SIZE bytes. */
+/* Returns whether all running tables list exactly the running members as alive or leaving,
+ * with equal digests; otherwise describes a difference in REASON, of SIZE bytes. */
 bool fleet_is_converged (fleet_t *fleet, char *reason, size_t size);
 
 /* Returns the first running node whose table has NODE in a state below STATE, or -1. */
--- a/packages/member/tests/fixture-network.h
+++ b/packages/member/tests/fixture-network.h
@@ -1,5 +1,5 @@
-/* Simulated network of up to 12 nodes on one manual clock: datagrams with loss, duplication,
- * delay and reordering, ordered streams, partitions, pauses and stopped nodes. Payloads are
+/* Simulated network of up to 12 nodes on a manual clock: lost, duplicated, delayed and
+ * reordered datagrams, ordered streams, partitions, pauses and stopped nodes. Payloads are
  * opaque. */
 #ifndef FIXTURE_NETWORK_H
 #define FIXTURE_NETWORK_H
@@ -52,20 +52,19 @@
 void fx_send (fx_network_t *network, size_t from, size_t to, fx_channel_t channel,
               fb_bytes_t bytes);
 
-/* Moves NODE to GROUP; only nodes of the same group are connected. All start in group 0. */
+/* Moves NODE to GROUP, initially 0; only nodes of one group are connected. */
 void fx_set_group (fx_network_t *network, size_t node, unsigned group);
 void fx_start_node (fx_network_t *network, size_t node);
 
-/* Stops a node and drops its stream messages in transit and all messages queued for it. */
+/* Stops a node; drops its stream messages in transit and all queued for it. */
 void fx_stop_node (fx_network_t *network, size_t node);
 
-/* Pauses a node: arriving messages are queued up to a limit, as in a socket buffer. */
+/* Pauses a node: messages are queued up to a limit, as in a socket buffer. */
 void fx_pause_node (fx_network_t *network, size_t node);
 
-/* Ends a pause: as in an event loop, the node ticks before it receives the queued messages. */
+/* Ends a pause: as in an event loop, the node ticks before it gets queued messages. */
 void fx_resume_node (fx_network_t *network, size_t node);
 
-/* Runs the network for DURATION ns. */
 void fx_run (fx_network_t *network, fb_time_t duration);
 
 #endif
--- a/packages/member/tests/test-listing.c
+++ b/packages/member/tests/test-listing.c
@@ -74,9 +74,9 @@
     }
 }
 
-/* Guards against endpoints that are removed because the list cannot be read or because they
- * expired during an outage, against removed endpoints that stay listed, and against
- * removals or leaving marks that are delayed while the listing is settled. */
+/* Guards against endpoints removed because the list cannot be read or they expired during
+ * an outage, removed ones that stay listed, and delayed removals or leaving marks while the
+ * listing is settled. */
 static void
 test_outages (void)
 {
--- a/packages/member/tests/test-member-probe.c
+++ b/packages/member/tests/test-member-probe.c
@@ -1,8 +1,8 @@
 /* Probes, gossip and announcements sent by one membership table. */
 #include "fixture-table.h"
 
-/* Guards against a node that declares all members dead after a pause, and against silent
- * members that are never declared dead, in which case the first check could not fail. */
+/* Guards against a node that declares all members dead after a pause, and silent members
+ * never declared dead, when the first check could not fail. */
 static void
 test_pause (void)
 {
@@ -21,9 +21,9 @@
   fixture_close (&fixture);
 }
 
-/* Guards against updates that circulate forever or are sent too rarely (3 + log2 (33) copies
- * are expected), copies that are sent repeatedly to one member, and recent changes that are not
- * sent to a member whose list differs. */
+/* Guards against updates that circulate forever or are sent too rarely (3 + log2 (33)
+ * copies are expected), repeated copies to one member, and recent changes not sent to a member
+ * whose list differs. */
 static void
 test_transmissions (void)
 {
@@ -73,8 +73,8 @@
   return count;
 }
 
-/* Guards against members that are probed more often than others, timeouts that ignore the local
- * health or grow without a limit, and deaths in a peer's list that do not lead to a probe. */
+/* Guards against members probed more often than others, timeouts that ignore local health
+ * or grow without limit, and deaths in a peer's list without a probe. */
 static void
 test_schedule (void)
 {
@@ -116,9 +116,9 @@
   fixture_close (&fixture);
 }
 
-/* Guards against sides of a healed partition that never ping each other, suspect or dead
- * members whose pings do not carry that state, leaving members that are declared dead while
- * they still send datagrams, and leaving members that are never declared dead once silent. */
+/* Guards against sides of a healed partition that never ping each other, pings to suspect
+ * or dead members without that state, and leaving members declared dead while they still send,
+ * or never once silent. */
 static void
 test_silent_member (void)
 {
@@ -159,8 +159,8 @@
   fixture_close (&fixture);
 }
 
-/* Guards against a requested node that does not forward the ack of the target, or that forwards
- * the ack of another member. */
+/* Guards against a requested node that does not forward the target's ack, or forwards
+ * another member's. */
 static void
 test_relay (void)
 {
@@ -240,7 +240,7 @@
     }
 }
 
-/* Guards against announcements that stay in one zone or are sent twice to one member. */
+/* Guards against announcements that stay in one zone or go twice to one member. */
 static void
 test_announce (void)
 {
--- a/packages/member/tests/test-member-random.c
+++ b/packages/member/tests/test-member-random.c
@@ -153,8 +153,8 @@
     }
 }
 
-/* Checks without loss and pauses that a leaving node and a killed node become known in time,
- * and that no other member is declared dead. */
+/* Checks without loss and pauses that a leaving and a killed node become known in time, and
+ * no other is declared dead. */
 static void
 run_healthy (fleet_t *fleet, GRand *random, size_t count)
 {
--- a/packages/member/tests/test-member-update.c
+++ b/packages/member/tests/test-member-update.c
@@ -1,8 +1,8 @@
 /* Rules for applying datagrams and lists to one membership table. */
 #include "fixture-table.h"
 
-/* Guards against updates about this node that change more than its incarnation, and against a
- * refutation that makes a leaving node alive again. */
+/* Guards against updates about this node that change more than its incarnation, and a
+ * refutation that makes a leaving node alive. */
 static void
 test_refute (void)
 {
@@ -83,8 +83,8 @@
     }
 }
 
-/* Guards against a suspect, leaving or outdated sender that does not receive the overriding
- * entry in the reply, and against its datagram changing that entry without a refutation. */
+/* Guards against a suspect, leaving or outdated sender that gets no overriding entry in the
+ * reply, and its datagram changing that entry without a refutation. */
 static void
 test_overridden_sender (void)
 {
@@ -114,8 +114,8 @@
     }
 }
 
-/* Guards against outdated updates that cause many replies, and against two processes with one
- * id that refute each other endlessly. */
+/* Guards against outdated updates that cause many replies, and two processes with one id
+ * that refute each other endlessly. */
 static void
 test_reply_limits (void)
 {
@@ -143,8 +143,8 @@
   fixture_close (&fixture);
 }
 
-/* Guards against differing member lists that are not detected, and against list exchanges that
- * are caused by spreading updates or follow each other too closely. */
+/* Guards against undetected differing lists, and list exchanges caused by spreading updates
+ * or too frequent. */
 static void
 test_divergence (void)
 {
@@ -171,9 +171,9 @@
   fixture_close (&fixture);
 }
 
-/* Guards against accepting invalid sender descriptions, against adding unknown members that are
- * dead, which tables would send to each other forever, and against host list entries that
- * become members before they have answered a ping. */
+/* Guards against invalid sender descriptions, unknown dead members being added, which
+ * tables would send to each other forever, and host list entries that become members before
+ * answering a ping. */
 static void
 test_invalid_sender (void)
 {
@@ -201,8 +201,8 @@
   fixture_close (&fixture);
 }
 
-/* Guards against a host that stays alive although the host list requires it to leave, and
- * against a refutation of that. */
+/* Guards against a host that stays alive although the host list requires it to leave, and a
+ * refutation of that. */
 static void
 test_host_list_leaving (void)
 {
