--- a/bench/bench-admission.c
+++ b/bench/bench-admission.c
@@ -1,4 +1,4 @@
-/* Compares admission policies: goodput, latency, share of slot time and worth for each rank. */
+/* Compares admission policies: goodput, latency, slot time and worth by rank. */
 #include "sim-service.h"
 #include <string.h>
 
@@ -30,8 +30,8 @@
   { "shares+throttle", { FR_POLICY_SHARES, FR_PICK_TWO_CHOICES, true } },
 };
 
-/* Prints one run. STEADY_ANSWERED: urgent calls answered in the steady run of the same policy;
- * 0 omits the comparison. */
+/* STEADY_ANSWERED: urgent calls answered in the policy's steady run; 0 omits the
+ * comparison. */
 static void
 print_result (const char *policy, const sim_result_t *result, const double steady_answered)
 {
@@ -60,7 +60,7 @@
            (double)result->attempts / result->seconds);
 }
 
-/* Arguments: [DEPLOYMENT [SCENARIO]], to run only these besides the steady scenario. */
+/* Arguments: [DEPLOYMENT [SCENARIO]], to run only these and the steady scenario. */
 int
 main (int argc, char **argv)
 {
--- a/bench/bench-call-cost.c
+++ b/bench/bench-call-cost.c
@@ -28,7 +28,7 @@
   g_print ("%-44s %8.0f ns\n", name, (double)(fb_read_clock (clock) - start) / count);
 }
 
-/* Started calls finish in order; refused calls are only counted. */
+/* Started calls finish in order; refused ones are counted. */
 typedef struct
 {
   GQueue started;
@@ -47,7 +47,7 @@
   ((admission_state_t *)user)->refused++;
 }
 
-/* Finishes one call for every OFFERED calls offered; the customers take turns. */
+/* Finishes one call for every OFFERED ones; customers take turns. */
 static void
 measure_admission (const char *name, const fb_clock_t *clock, int offered)
 {
--- a/bench/bench-config.c
+++ b/bench/bench-config.c
@@ -1,4 +1,4 @@
-/* Measures the check of a document: in full, and based on a snapshot that differs in some
+/* Measures the check of a document: in full, and from a snapshot that differs in some
  * routes. */
 #include <foxtailrun/config/snapshot.h>
 #include <glib.h>
@@ -11,7 +11,7 @@
 #define SERVICES 130
 #define NS_PER_MS 1e6
 
-/* Routes of a document of nearly the largest permitted size. */
+/* Routes of a document near the size limit. */
 #define ROUTES_LARGEST 4000
 
 /* Length of a route with the comment that pads it. */
@@ -45,7 +45,7 @@
     }
   for (int i = 0; i < routes; i++)
     {
-      /* Distributes the changed routes evenly over the document. */
+      /* Spreads the changed routes evenly. */
       bool changes = (long)i * changed / routes != (long)(i + 1) * changed / routes;
       gsize start = text->len;
 
@@ -130,7 +130,7 @@
     {
       GString *text = write_document (ROUTES_LARGEST, 0, 1);
 
-      /* Writes the largest document to a file, as input of other programs. */
+      /* Writes the largest document to a file, for other programs. */
       g_file_set_contents (argv[1], text->str, (gssize)text->len, NULL);
       g_string_free (text, TRUE);
       return 0;
--- a/bench/bench-dist.c
+++ b/bench/bench-dist.c
@@ -1,5 +1,5 @@
-/* Compares dissemination strategies on the same changes, and measures the cost of one node at
- * the target size. */
+/* Compares dissemination strategies on the same changes; measures the cost of a node at target
+ * size. */
 #include "dist-state.h"
 #include "fleet.h"
 #include <foxtailrun/config/delta.h>
@@ -11,14 +11,13 @@
 #define ZONES 1
 #define PUBLICATIONS 30
 
-/* Routes of the published documents. The manual clock does not include the time of their
- * checks. */
+/* Routes of the documents. The manual clock omits the time of their checks. */
 #define ROUTES 100
 
 /* 1,400 changes a day. */
 #define CHANGE_INTERVAL (62 * FB_SECOND)
 
-/* Longest interval with which polling distributes a change within 6 s. */
+/* Longest polling interval that distributes a change within 6 s. */
 #define POLL_INTERVAL (5 * FB_SECOND)
 
 /* Longest wait until the last node has a version. */
@@ -26,7 +25,7 @@
 
 #define KILLED_NODES 2
 
-/* Size of the target fleet, and repetitions of each measurement. */
+/* Target fleet size, and repetitions of each measurement. */
 #define TARGET_NODES 3000
 #define REPETITIONS 20
 
@@ -40,7 +39,7 @@
 static const char *const strategy_names[] = { "push+pull", "pull only", "poll" };
 static strategy_t strategy;
 
-/* Names that the linker gives to the original functions and their replacements, see --wrap. */
+/* Linker names of the original functions and their replacements, see --wrap. */
 void announce_original (fm_table_t *table) __asm__("__real_fm_announce_version");
 void announce_by_strategy (fm_table_t *table) __asm__("__wrap_fm_announce_version");
 void tick_source_original (fd_node_t *node) __asm__("__real_fd_tick_source");
@@ -120,7 +119,7 @@
     }
 }
 
-/* Publishes NUMBER and returns the time until all running nodes have it. */
+/* Publishes NUMBER; returns the time until all running nodes have it. */
 static fb_time_t
 time_publication (sf_fleet_t *fleet, uint64_t number, bool kill)
 {
@@ -187,8 +186,8 @@
   return (double)now.tv_sec * 1e3 + (double)now.tv_nsec / 1e6;
 }
 
-/* Returns a document of nearly 1 MB: 4,000 routes whose paths contain random digits, so that it
- * compresses no better than a real one. */
+/* Returns a document of nearly 1 MB: 4,000 routes with random digits in their paths, to
+ * compress no better than a real one. */
 static GBytes *
 make_large_document (uint64_t number, uint32_t timeout_ms)
 {
@@ -300,7 +299,7 @@
 {
 }
 
-/* Measures the ticks of one node among 3,000 members, and its responses to a joining one. */
+/* Measures a node's ticks among 3,000 members, and its responses to a joining one. */
 static void
 measure_node (void)
 {
--- a/bench/bench-member.c
+++ b/bench/bench-member.c
@@ -15,14 +15,13 @@
 
 #define ROUND_INTERVAL (100 * FB_MILLISECOND)
 
-/* Time from a change to its first copy at the table: a few gossip rounds. */
+/* Time from a change to its first copy at the table: some gossip rounds. */
 #define SPREAD_DELAY (300 * FB_MILLISECOND)
 
 /* More updates than fit into one datagram. */
 #define ROUND_UPDATES_MAX 16
 
-/* Restarts and failures a day, and the largest number of simultaneous restarts, according to
- * the design page. */
+/* Restarts and failures a day, and most simultaneous restarts, from the design page. */
 #define RESTARTS_PER_DAY 580
 #define FAILURES_PER_DAY 9
 #define MASS_RESTARTS 580
@@ -35,11 +34,11 @@
   fb_time_t at;
   guint member;
   fw_member_state_t state;
-  bool up; /* whether the member answers pings from then on */
+  bool up; /* whether it answers pings from then on */
   bool gossiped;
 } change_t;
 
-/* An update that other members are still sending. */
+/* An update still sent by other members. */
 typedef struct
 {
   fb_time_t visible_at;
@@ -60,7 +59,7 @@
   fb_counters_t *counters;
   fb_counters_t *mirror_counters;
   fm_table_t *table;
-  fm_table_t *mirror; /* a current member list, for the digests that other members send */
+  fm_table_t *mirror; /* current members, for the digests sent by others */
   fw_member_t *members;
   bool *up;
   guint down_count;
@@ -142,7 +141,7 @@
     }
 }
 
-/* Counts the first FITTED pending updates as sent and moves them behind the others. */
+/* Counts the first FITTED pending updates as sent and moves them to the end. */
 static void
 count_sent_updates (fleet_t *fleet, size_t fitted)
 {
@@ -165,7 +164,7 @@
     }
 }
 
-/* Delivers one datagram of member FROM and adds its processor time to the total. */
+/* Delivers a datagram of member FROM and adds its processor time. */
 static void
 deliver (fleet_t *fleet, fw_datagram_kind_t kind, guint from, uint64_t sequence,
          const fb_name_t *target)
@@ -203,7 +202,7 @@
   return member;
 }
 
-/* Applies CHANGE to the simulated fleet now; the table receives it after SPREAD_DELAY. */
+/* Applies CHANGE to the fleet now; the table receives it after SPREAD_DELAY. */
 static void
 apply_change (fleet_t *fleet, const change_t *change)
 {
@@ -233,7 +232,7 @@
   fleet->updates++;
 }
 
-/* Acknowledges the pings that the table sent since the last round. */
+/* Acknowledges the table's pings since the last round. */
 static void
 answer_pings (fleet_t *fleet)
 {
@@ -266,7 +265,7 @@
   answer_pings (fleet);
   if (round % 10 == 5)
     deliver (fleet, FW_PING, pick_member (fleet), round, NULL);
-  /* Each member that is down fails one probe a second, which sends three PING_REQs. */
+  /* A member that is down fails a probe a second, which sends three PING_REQs. */
   if (g_rand_double (fleet->random) * 10 * fleet->count < 3.0 * fleet->down_count)
     deliver (fleet, FW_PING_REQ, pick_member (fleet), round,
              &fleet->members[pick_member (fleet)].id);
--- a/bench/bench-pick.c
+++ b/bench/bench-pick.c
@@ -1,4 +1,4 @@
-/* Compares policies for picking an instance, each with and without throttle and retries. */
+/* Compares picking policies, with and without throttle and retries. */
 #include "sim-service.h"
 #include <string.h>
 
--- a/bench/call-bench.c
+++ b/bench/call-bench.c
@@ -4,8 +4,8 @@
  * Usage: call-bench DAEMON PLATFORM BACKEND SECONDS
  * Starts a backend server stand-in that answers at once, its node, and an entry node of another
  * service. Sequential calls go to the backend server directly, through its own node (one hop)
- * and through the entry node (two hops), interleaved so that the load of the machine affects
- * all three alike; then many calls at once go through the entry node. */
+ * and through the entry node (two hops), interleaved so that machine load affects
+ * all alike; then many calls at once go through the entry node. */
 #include "process.h"
 #include <foxtailrun/http/client.h>
 #include <glib.h>
--- a/bench/fleet-bench.c
+++ b/bench/fleet-bench.c
@@ -3,8 +3,8 @@
  * Usage: fleet-bench DAEMON PLATFORM NODES DOCUMENT_KB CHANGES
  * Starts the platform stand-in and NODES nodes without backend servers over 8 zones in 4
  * regions, waits until all are ready, measures an idle window and a window with one change a
- * second, then single changes under faults. Convergence is read from the logs of the nodes,
- * whose times all come from the monotonic clock of the host. */
+ * second, then single changes under faults. Convergence is read from the nodes' logs,
+ * all timed by the host's monotonic clock. */
 #include "process.h"
 #include <foxtailrun/http/client.h>
 #include <glib.h>
@@ -19,8 +19,8 @@
 #define SERVICES 130
 #define ROUTES_MAX 3900
 
-/* Bytes of a route without padding. Large documents pad the paths, so that the number of routes
- * stays within its limit. */
+/* Bytes of a route without padding. Large documents pad paths to stay within the limit of
+ * routes. */
 #define ROUTE_BYTES 110
 #define WINDOW_S 20
 #define READY_TIMEOUT_S 120
@@ -103,7 +103,7 @@
   g_free (path);
 }
 
-/* Publishes the next version, in which one route differs, and returns the time in us. */
+/* Publishes the next version, with one route changed; returns the time in us. */
 static gint64
 publish (bench_t *bench)
 {
@@ -215,7 +215,7 @@
   return kilobytes / 1024;
 }
 
-/* Returns the sum of all metrics in TEXT whose line starts with PREFIX. */
+/* Sums the metrics in TEXT whose line starts with PREFIX. */
 static uint64_t
 sum_metric (const char *text, const char *prefix)
 {
@@ -314,8 +314,8 @@
   return left < right ? -1 : left > right;
 }
 
-/* Adds the delays of all running nodes since the publication of VERSION at AT_US; returns the
- * number of nodes that have not applied it. */
+/* Adds the delays of running nodes since VERSION was published at AT_US; returns how many have
+ * not applied it. */
 static size_t
 add_delays (bench_t *bench, uint64_t version, gint64 at_us, GArray *delays)
 {
@@ -388,8 +388,7 @@
   bench->alive[index] = false;
 }
 
-/* Publishes one change, kills the selected nodes at once and prints the delays of the others.
- */
+/* Publishes a change, kills the selected nodes at once and prints the others' delays. */
 static void
 measure_fault (bench_t *bench, const char *name,
                bool (*is_selected) (bench_t *bench, size_t index))
--- a/bench/sim-service.c
+++ b/bench/sim-service.c
@@ -8,7 +8,7 @@
 #define MEASURED_TIME (10 * FB_SECOND)
 #define TICK_INTERVAL (10 * FB_MILLISECOND)
 
-/* One-way delays between two nodes of the same zone and of different zones. */
+/* One-way delays within a zone and between zones. */
 #define SAME_ZONE_DELAY (150 * FB_MICROSECOND)
 #define CROSS_ZONE_DELAY (500 * FB_MICROSECOND)
 
@@ -78,8 +78,7 @@
   fb_clock_t *clock;
   fb_counters_t *counters;
   GRand *random;
-  /* Each rank draws its arrivals from its own generator, so that they are the same in all
-   * scenarios. */
+  /* A generator for each rank, so that arrivals are the same in all scenarios. */
   GRand *arrivals[SIM_RANKS + 1];
   sim_heap_t heap;
   host_t hosts[SIM_INSTANCES_MAX];
@@ -101,8 +100,8 @@
   return call->entry % ZONES == call->target % ZONES ? SAME_ZONE_DELAY : CROSS_ZONE_DELAY;
 }
 
-/* Arrivals and responses are counted independently within the measured time, so that calls
- * still queued at its end do not count as lost. */
+/* Arrivals and responses within the measured time count independently, so calls queued at its
+ * end do not count as lost. */
 static bool
 is_measured (const sim_t *sim)
 {
@@ -146,7 +145,7 @@
   send_response (host->sim, call);
 }
 
-/* Sends the next attempt of CALL; returns false if there is none, which ends the call. */
+/* Sends the next attempt of CALL; false if there is none, which ends the call. */
 static bool
 send_attempt (sim_t *sim, call_t *call)
 {
--- a/bench/sim-service.h
+++ b/bench/sim-service.h
@@ -11,7 +11,6 @@
 #define SIM_CUSTOMERS 20
 #define SIM_INSTANCES_MAX 6
 
-/* Sizes of one deployment. */
 typedef struct
 {
   const char *name;
@@ -40,7 +39,6 @@
   bool throttle; /* the entry nodes throttle and retry */
 } sim_policy_t;
 
-/* One rank of the workload. */
 typedef struct
 {
   const char *name;
@@ -55,7 +53,6 @@
 
 extern const sim_rank_t SIM_RANK_TABLE[SIM_RANKS];
 
-/* Results of one rank. */
 typedef struct
 {
   uint64_t offered;
--- a/packages/foxtailrun/source/admin-client.c
+++ b/packages/foxtailrun/source/admin-client.c
@@ -3,8 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Requests in flight at once; limits the open descriptors when thousands of nodes are queried.
- */
+/* Requests in flight at once; limits open descriptors with thousands of nodes. */
 #define PARALLEL_REQUESTS_MAX 64
 
 #define RESPONSE_BYTES_MAX (4 * 1024 * 1024)
@@ -16,7 +15,6 @@
   uint32_t timeout_ms;
 };
 
-/* One request of a batch. */
 typedef struct
 {
   fx_admin_client_t *client;
@@ -216,7 +214,7 @@
          || fb_equal_str (fb_get_name (&member->state), FB_LITERAL ("suspect"));
 }
 
-/* Requests the versions of all serving nodes of MEMBERS. */
+/* Requests the versions of the serving MEMBERS. */
 static void
 query_versions (fx_admin_client_t *client, GArray *members)
 {
--- a/packages/foxtailrun/source/admin-client.h
+++ b/packages/foxtailrun/source/admin-client.h
@@ -15,7 +15,7 @@
   uint16_t port;
 } fx_socket_address_t;
 
-/* One member as the queried node lists it, and the state that the member itself reports. */
+/* One member as the queried node lists it, and the state it reports itself. */
 typedef struct
 {
   fb_name_t id;
@@ -33,8 +33,7 @@
 
 typedef struct fx_admin_client fx_admin_client_t;
 
-/* Creates a client that authenticates with KEY (may be empty) and gives each request
- * TIMEOUT_MS. */
+/* Creates a client with KEY (may be empty) and TIMEOUT_MS for each request. */
 fx_admin_client_t *fx_create_admin_client (fb_str_t key, uint32_t timeout_ms);
 
 /* Frees CLIENT; NULL is allowed. */
@@ -43,25 +42,24 @@
 /* Parses "IP:PORT"; FB_INVALID otherwise. */
 fb_status_t fx_parse_socket_address (const char *text, fx_socket_address_t *address);
 
-/* Sends one request and waits for the response. FB_OK stores the HTTP status and, when the body
- * is JSON, a new object in *BODY (else NULL); FB_UNAVAILABLE when the node does not answer. */
+/* Sends a request and waits. FB_OK stores the HTTP status and a new object in *BODY, NULL if
+ * the body is not JSON; FB_UNAVAILABLE when the node does not answer. */
 fb_status_t fx_send_request (fx_admin_client_t *client, const fx_socket_address_t *address,
                              const char *method, const char *path, uint32_t *status,
                              json_t **body);
 
-/* Requests the members from the node at ADDRESS. Returns a new array of fx_node_status_t
- * ordered by id, without their versions, freed by g_array_unref, or NULL when the node does not
- * answer. */
+/* Returns the members listed by the node at ADDRESS as a new array of fx_node_status_t ordered
+ * by id, without versions, freed by g_array_unref; NULL when the node does not answer. */
 GArray *fx_list_members (fx_admin_client_t *client, const fx_socket_address_t *address);
 
-/* Receives the JSON of a response of MEMBER with status 200, borrowed, or NULL for any other
- * outcome. */
+/* Receives the JSON of MEMBER's response with status 200, borrowed; NULL for other
+ * outcomes. */
 typedef void (*fx_member_response_fn_t) (const fx_node_status_t *member, json_t *body,
                                          void *user);
 
 /* Sends GET PATH to the serving ones of MEMBERS, an array of fx_node_status_t, and calls
- * HANDLER with USER once for each member, in any order; a member that is not serving gets no
- * request. Each response is freed after its call, so that only one is in memory at a time. */
+ * HANDLER with USER once for each member, serving or not, in any order. Each response is freed
+ * after its call, so only one is in memory at a time. */
 void fx_query_members (fx_admin_client_t *client, const GArray *members, const char *path,
                        fx_member_response_fn_t handler, void *user);
 
--- a/packages/foxtailrun/source/cmd-apply.c
+++ b/packages/foxtailrun/source/cmd-apply.c
@@ -1,5 +1,4 @@
-/* foxtailrun apply: checks a document, publishes it to the platform and waits until it is in
- * force. */
+/* foxtailrun apply: checks and publishes a document and waits until it is in force. */
 #include "admin-client.h"
 #include "command.h"
 #include <argtable2.h>
@@ -59,14 +58,14 @@
   return highest;
 }
 
-/* Returns whether the document with DIGEST is in force at MEMBER and MEMBER accepts calls. */
+/* Whether the document with DIGEST is in force at MEMBER and MEMBER accepts calls. */
 static bool
 has_document_in_force (const fx_node_status_t *member, const char *digest)
 {
   return member->reached && member->ready && strcmp (member->digest, digest) == 0;
 }
 
-/* Counts the serving nodes with the document of DIGEST in force. */
+/* Counts the serving nodes with DIGEST in force. */
 static size_t
 count_updated (const GArray *members, const char *digest)
 {
@@ -110,7 +109,7 @@
   g_hash_table_destroy (zones);
 }
 
-/* Returns the first refusal of the document with DIGEST, owned by MEMBERS, or NULL. */
+/* The first refusal of the document with DIGEST, owned by MEMBERS, or NULL. */
 static const char *
 find_refusal (const GArray *members, const char *digest)
 {
@@ -142,8 +141,8 @@
     }
 }
 
-/* Waits until the document with version NUMBER and DIGEST is in force on all serving nodes.
- * Returns the exit status. */
+/* Waits until version NUMBER with DIGEST is in force on all serving nodes; returns the exit
+ * status. */
 static int
 wait_for_nodes (fx_admin_client_t *client, const apply_t *apply, uint64_t number,
                 const char *digest)
@@ -195,7 +194,7 @@
     }
 }
 
-/* Returns the highest version number in force, 0 when NODE does not answer. */
+/* The highest version number in force, 0 when NODE does not answer. */
 static uint64_t
 query_highest_version (fx_admin_client_t *client, const fx_socket_address_t *node)
 {
--- a/packages/foxtailrun/source/cmd-check.c
+++ b/packages/foxtailrun/source/cmd-check.c
@@ -1,4 +1,4 @@
-/* foxtailrun check: reports every problem in a configuration document or a settings file. */
+/* foxtailrun check: reports every problem in a document or settings file. */
 #include "command.h"
 #include <argtable2.h>
 #include <foxtailrun/base/digest.h>
--- a/packages/foxtailrun/source/cmd-explain.c
+++ b/packages/foxtailrun/source/cmd-explain.c
@@ -1,4 +1,4 @@
-/* foxtailrun explain: where a node would send a request, and why. */
+/* foxtailrun explain: where a node sends a request, and why. */
 #include "admin-client.h"
 #include "command.h"
 #include <argtable2.h>
@@ -81,7 +81,7 @@
   fprintf (out, "result:   %s\n", get_text (response, "result"));
 }
 
-/* Requests the explanation from the node at ADDRESS and prints it. Returns the exit status. */
+/* Prints the explanation of the node at ADDRESS; returns the exit status. */
 static int
 explain_request (const fx_socket_address_t *address, const char *method, const char *path,
                  bool json, const cmd_io_t *io)
--- a/packages/foxtailrun/source/cmd-load.c
+++ b/packages/foxtailrun/source/cmd-load.c
@@ -7,8 +7,7 @@
 #define DEFAULT_TIMEOUT_MS 10000
 #define DEFAULT_SEED 1
 
-/* Stores the value of OPTION, an integer from 1 to MAX; without the option *VALUE keeps its
- * default. */
+/* Stores OPTION, an integer from 1 to MAX; without it *VALUE keeps its default. */
 static bool
 parse_number (const struct arg_int *option, const char *name, int max, uint32_t *value,
               const cmd_io_t *io)
--- a/packages/foxtailrun/source/cmd-report.c
+++ b/packages/foxtailrun/source/cmd-report.c
@@ -7,7 +7,7 @@
 
 #define REQUEST_TIMEOUT_MS 2000
 
-/* Receives one node's response to GET /burn, or NULL. */
+/* Receives a node's response to GET /burn, or NULL. */
 static void
 add_burn_response (const fx_node_status_t *member, json_t *response, void *user)
 {
@@ -16,8 +16,7 @@
   burn_add_response (user, &node, response);
 }
 
-/* Queries all members that the node at ADDRESS lists. Returns NULL when that node does not
- * answer. */
+/* Queries all members listed by the node at ADDRESS; NULL when it does not answer. */
 static burn_report_t *
 collect_burn (const fx_socket_address_t *address)
 {
--- a/packages/foxtailrun/source/cmd-status.c
+++ b/packages/foxtailrun/source/cmd-status.c
@@ -7,7 +7,7 @@
 
 #define REQUEST_TIMEOUT_MS 2000
 
-/* Arguments that these subcommands share. */
+/* Arguments of these subcommands. */
 typedef struct
 {
   const cmd_io_t *io;
@@ -76,7 +76,7 @@
   return CMD_EXIT_OK;
 }
 
-/* Prints the list under KEY of the response to GET PATH as a table of COLUMNS. */
+/* Prints the list KEY of the response to GET PATH as a table. */
 static int
 print_list (fx_admin_client_t *client, const arguments_t *arguments, const char *path,
             const char *key, const char *const *columns, size_t count)
@@ -150,8 +150,7 @@
   return CMD_EXIT_REQUEST_FAILED;
 }
 
-/* Reads the key from the first line of PATH; as an argument it would be visible in the process
- * list. */
+/* Reads the key from the first line of PATH; an argument would show in the process list. */
 static char *
 read_key (const char *path, const cmd_io_t *io)
 {
--- a/packages/foxtailrun/source/cmd-trace.c
+++ b/packages/foxtailrun/source/cmd-trace.c
@@ -1,4 +1,4 @@
-/* foxtailrun trace: prints the log lines of one request and of the calls that it made. */
+/* foxtailrun trace: prints the log lines of a request and its calls. */
 #include "command.h"
 #include <argtable2.h>
 #include <errno.h>
@@ -14,7 +14,7 @@
   bool json;
   const cmd_io_t *io;
   size_t line_count;
-  char *final_line; /* line with the outcome of the request itself, or NULL; owned */
+  char *final_line; /* line with the request's outcome, or NULL; owned */
 } trace_t;
 
 /* Returns the value of KEY in a logfmt LINE without its quotes, or NULL; free with g_free. */
@@ -35,8 +35,8 @@
   return value;
 }
 
-/* Returns whether ID is the id of the request or of a call made by its run, which extends the
- * request's id after a dot. */
+/* Whether ID is the request's id, or that of a call by its run, which extends it after a
+ * dot. */
 static bool
 belongs_to_request (const trace_t *trace, const char *id)
 {
@@ -68,7 +68,7 @@
       if (id && belongs_to_request (trace, id) && g_utf8_validate (line, -1, NULL))
         {
           print_line (trace, file, g_strchomp (line));
-          /* Only the lines of the entry node have the status that the caller received. */
+          /* Only the entry node logs the status that the caller received. */
           if (strcmp (id, trace->id) == 0 && strstr (line, "service=request"))
             {
               g_free (trace->final_line);
@@ -80,7 +80,7 @@
   free (line);
 }
 
-/* Prints the outcome of the request and its reason. */
+/* Prints the request's outcome and its reason. */
 static void
 print_cause (const trace_t *trace)
 {
--- a/packages/foxtailrun/source/command.c
+++ b/packages/foxtailrun/source/command.c
@@ -1,4 +1,4 @@
-/* Functions that the subcommands share: arguments, problems and documents. */
+/* Shared by subcommands: arguments, problems and documents. */
 #include "command.h"
 #include <argtable2.h>
 #include <foxtailrun/config/settings.h>
--- a/packages/foxtailrun/source/command.h
+++ b/packages/foxtailrun/source/command.h
@@ -1,4 +1,4 @@
-/* The subcommands of foxtailrun and the functions that they share. */
+/* The subcommands of foxtailrun and their shared functions. */
 #ifndef FOXTAILRUN_COMMAND_H
 #define FOXTAILRUN_COMMAND_H
 
@@ -8,14 +8,13 @@
 #include <stdbool.h>
 #include <stdio.h>
 
-/* Exit statuses. */
 #define CMD_EXIT_OK 0
 #define CMD_EXIT_USAGE 1            /* wrong arguments */
 #define CMD_EXIT_PROBLEMS 2         /* a file has problems or cannot be read */
-#define CMD_EXIT_WRITE_FAILED 3     /* the result or the document could not be written */
+#define CMD_EXIT_WRITE_FAILED 3     /* result or document could not be written */
 #define CMD_EXIT_REQUEST_FAILED 4   /* a node does not answer or refuses the request */
 #define CMD_EXIT_DOCUMENT_REFUSED 5 /* a node refused the document */
-#define CMD_EXIT_TIMEOUT 6 /* the document was not in force on all nodes before the timeout */
+#define CMD_EXIT_TIMEOUT 6          /* not in force on all nodes before the timeout */
 
 /* Output streams of a command; borrowed. */
 typedef struct
@@ -54,9 +53,9 @@
 /* Runs foxtailrun with the arguments of main and returns the exit status. */
 int cmd_run (int argc, char **argv, const cmd_io_t *io);
 
-/* Parses ARGV by argtable's TABLE of COUNT entries, which starts with CMD_STANDARD_OPTIONS and
- * ends with an arg_end. Returns true when the command must run; otherwise the help, the version
- * or the errors have been written to IO and *STATUS is the exit status. */
+/* Parses ARGV by argtable's TABLE of COUNT entries, from CMD_STANDARD_OPTIONS to an arg_end.
+ * True when the command must run; otherwise help, version or errors are written to IO and
+ * *STATUS is the exit status. */
 bool cmd_parse_arguments (const cmd_command_t *command, int argc, char **argv, void **table,
                           size_t count, const cmd_io_t *io, int *status);
 
@@ -71,7 +70,7 @@
 /* Writes PROBLEMS of FILE, one per line, and their number. */
 void cmd_print_problems (const fc_problems_t *problems, const char *file, FILE *out);
 
-/* Returns PROBLEMS as a new array of objects; the caller owns the reference. */
+/* Returns PROBLEMS as a new array of objects, owned by the caller. */
 json_t *cmd_pack_problems (const fc_problems_t *problems);
 
 /* Writes VALUE with a final newline and drops the reference. */
--- a/packages/foxtailrun/source/diff-fields.c
+++ b/packages/foxtailrun/source/diff-fields.c
@@ -20,8 +20,6 @@
   g_string_append_printf (text, "%.10g", number);
 }
 
-/* Document. */
-
 static size_t
 count_document (const fc_snapshot_t *snapshot)
 {
@@ -53,8 +51,6 @@
              : NULL;
 }
 
-/* Ranks. */
-
 static void
 format_rank_name (const fc_snapshot_t *snapshot, size_t index, GString *text)
 {
@@ -100,8 +96,6 @@
                                                 : NULL;
 }
 
-/* Services. */
-
 static void
 format_service_name (const fc_snapshot_t *snapshot, size_t index, GString *text)
 {
@@ -134,7 +128,7 @@
   return strcmp (*(char *const *)a, *(char *const *)b);
 }
 
-/* Sorts the names, because the order of dependencies has no meaning. */
+/* Sorted, as the order of dependencies has no meaning. */
 static void
 format_dependencies (const fc_snapshot_t *snapshot, size_t index, GString *text)
 {
@@ -158,8 +152,6 @@
   return "its instances receive no more calls";
 }
 
-/* Routes. */
-
 static void
 format_route_name (const fc_snapshot_t *snapshot, size_t index, GString *text)
 {
@@ -343,8 +335,6 @@
   return "requests for its path no longer match it";
 }
 
-/* Customers. */
-
 static void
 format_customer_name (const fc_snapshot_t *snapshot, size_t index, GString *text)
 {
@@ -357,8 +347,6 @@
   append_number (text, fc_get_customer (snapshot, index)->weight);
 }
 
-/* Objectives. */
-
 static void
 format_objective_name (const fc_snapshot_t *snapshot, size_t index, GString *text)
 {
--- a/packages/foxtailrun/source/load-kind.c
+++ b/packages/foxtailrun/source/load-kind.c
@@ -2,8 +2,7 @@
 #include "load.h"
 #include <string.h>
 
-/* Parses one word after METHOD and PATH. Returns NULL, or a static text that says what is
- * allowed. */
+/* Parses a word after METHOD and PATH. Returns NULL, or a static text of what is allowed. */
 static const char *
 parse_option (const char *word, load_kind_t *kind)
 {
--- a/packages/foxtailrun/source/load-report.c
+++ b/packages/foxtailrun/source/load-report.c
@@ -4,7 +4,6 @@
 static const char *const outcome_keys[LOAD_OUTCOME_COUNT]
     = { "answered", "not_run", "unknown", "failed", "transport_errors", "not_started" };
 
-/* Statistics of one kind. */
 typedef struct
 {
   double median_ms;
@@ -29,7 +28,7 @@
 
   if (latencies->len == 0)
     return 0;
-  /* The nearest-rank definition: the smallest rank with at least FRACTION of the values. */
+  /* Nearest rank: the smallest with at least FRACTION of the values. */
   index = (guint)(fraction * latencies->len);
   if (index < fraction * latencies->len)
     index++;
--- a/packages/foxtailrun/source/load-run.c
+++ b/packages/foxtailrun/source/load-run.c
@@ -1,9 +1,8 @@
-/* The run of an open-loop load: each call starts at its due time, independent of earlier calls.
- */
+/* Run of an open-loop load: calls start when due, independent of earlier ones. */
 #include "load.h"
 
-/* Period of the timer, the shortest allowed. Calls that are due within one period start
- * together; the latency of each still counts from its own due time. */
+/* The shortest timer period allowed. Calls due within a period start together; each latency
+ * counts from its own due time. */
 #define START_INTERVAL FB_MILLISECOND
 
 #define RESPONSE_BYTES_MAX (8 * 1024 * 1024)
--- a/packages/foxtailrun/source/report-burn.c
+++ b/packages/foxtailrun/source/report-burn.c
@@ -34,7 +34,7 @@
   g_free (report);
 }
 
-/* Stores the count under KEY in *VALUE; false when it is missing or negative. */
+/* Stores count KEY in *VALUE; false when missing or negative. */
 static bool
 parse_count (json_t *object, const char *key, uint64_t *value)
 {
@@ -103,8 +103,7 @@
   return parse_windows (json_object_get (item, "windows"), objective_counts);
 }
 
-/* Returns the fs_objective_counts_t of RESPONSE as a new array, or NULL when any of them is
- * malformed. */
+/* Returns RESPONSE as a new array of fs_objective_counts_t, NULL when any is malformed. */
 static GArray *
 parse_response (json_t *response)
 {
@@ -130,7 +129,7 @@
   return NULL;
 }
 
-/* Adds the calls in COUNTS to the group called NAME, which is created when missing. */
+/* Adds COUNTS to group NAME, created when missing. */
 static void
 add_to_group (GArray *groups, const fb_name_t *name, const fs_counts_t *counts)
 {
--- a/packages/foxtailrun/source/report-burn.h
+++ b/packages/foxtailrun/source/report-burn.h
@@ -1,4 +1,4 @@
-/* Service-level burn of the fleet: the counts reported by the nodes, merged by objective. */
+/* Service-level burn of the fleet: counts of the nodes, merged by objective. */
 #ifndef FOXTAILRUN_COMMAND_REPORT_BURN_H
 #define FOXTAILRUN_COMMAND_REPORT_BURN_H
 
@@ -8,10 +8,10 @@
 #include <jansson.h>
 #include <stdio.h>
 
-/* Number of zones and of nodes that the table and the page list for each objective. */
+/* Zones and nodes listed for each objective. */
 #define BURN_GROUPS_SHOWN_MAX 5
 
-/* Calls of the longest window in one zone or on one node. */
+/* Calls of a zone or node in the longest window. */
 typedef struct
 {
   fb_name_t name;
@@ -19,8 +19,8 @@
   uint64_t bad;
 } burn_group_t;
 
-/* One objective. Objectives that differ in target or ratio, because nodes have different
- * documents in force, are separate rows. */
+/* Objectives that differ in target or ratio, as nodes have different documents in force, are
+ * separate rows. */
 typedef struct
 {
   fs_objective_counts_t objective_counts;
@@ -49,12 +49,12 @@
 /* Frees REPORT; NULL is allowed. */
 void burn_destroy_report (burn_report_t *report);
 
-/* Adds NODE and the counts in its RESPONSE to GET /burn; sets the field answered of the copy. A
- * NULL or malformed response adds no counts; returns FB_INVALID for a malformed one. */
+/* Adds NODE and the counts of its RESPONSE to GET /burn; sets answered in the copy. A NULL or
+ * malformed response adds no counts; FB_INVALID for a malformed one. */
 fb_status_t burn_add_response (burn_report_t *report, const burn_node_t *node,
                                json_t *response);
 
-/* Sorts REPORT; call it after the last response and before the output. */
+/* Sorts REPORT; call after the last response, before output. */
 void burn_sort_report (burn_report_t *report);
 
 /* Returns the number of nodes that answered. */
@@ -70,15 +70,13 @@
  * creation. Free with g_free. */
 char *burn_format_page (const burn_report_t *report, const char *created);
 
-/* Returns the error budget left in the longest window as text, such as "12.5 %"; free with
- * g_free. */
+/* Returns the error budget left in the longest window, such as "12.5 %"; free with g_free. */
 char *burn_format_budget (const fs_objective_counts_t *objective_counts);
 
 /* Returns the burn rate in WINDOW as text, "-" without calls; free with g_free. */
 char *burn_format_rate (const fs_objective_counts_t *objective_counts, fs_window_t window);
 
-/* Returns how far back the counts of the nodes go, such as "2m10s to 6h0m0s"; free with g_free.
- */
+/* Returns how far back the counts go, such as "2m10s to 6h0m0s"; free with g_free. */
 char *burn_format_reach (const fs_counts_t *counts);
 
 #endif
--- a/packages/foxtailrun/source/report-page.c
+++ b/packages/foxtailrun/source/report-page.c
@@ -1,4 +1,4 @@
-/* The report on service-level burn as a self-contained HTML page. */
+/* The burn report as a self-contained HTML page. */
 #include "report-burn.h"
 
 /* Dimensions of the plots in units of the view box. */
@@ -7,8 +7,8 @@
 #define PLOT_HEIGHT 100
 #define BAR_WIDTH 44
 
-/* The policy prevents mail readers from loading resources or running scripts, even if a name
- * contains markup. */
+/* The policy keeps mail readers from loading resources or running scripts, even if a name has
+ * markup. */
 static const char page_head[]
     = "<!DOCTYPE html>\n<html lang=\"en\">\n<head>\n<meta charset=\"utf-8\">\n"
       "<meta http-equiv=\"Content-Security-Policy\" content=\"default-src 'none'; "
@@ -27,8 +27,8 @@
       ".page,.ticket{padding:0 .4em;border-radius:.2em}\n"
       "</style>\n</head>\n<body>\n<h1>Service-level burn</h1>\n";
 
-/* Appends TEXT, escaped for HTML. Invalid UTF-8, such as a name truncated within a character,
- * is replaced first, because the escaping needs valid UTF-8. */
+/* Appends TEXT, escaped for HTML. Invalid UTF-8, as in a name truncated within a character, is
+ * replaced first: escaping needs valid UTF-8. */
 static void
 append_escaped (GString *page, const char *text)
 {
--- a/packages/foxtailrun/source/report-text.c
+++ b/packages/foxtailrun/source/report-text.c
@@ -1,10 +1,8 @@
-/* The report on service-level burn as a table and as JSON. */
+/* The burn report as a table and as JSON. */
 #include "report-burn.h"
 #include <math.h>
 
-/* Lowest budget, in percent, that is printed as a number; longer numbers would break the
- * columns.
- */
+/* Lowest budget, in percent, printed as a number; longer ones would break the columns. */
 #define BUDGET_PERCENT_MIN (-9999)
 
 char *
--- a/packages/foxtailrun/tests/test-commands.c
+++ b/packages/foxtailrun/tests/test-commands.c
@@ -1,4 +1,4 @@
-/* The subcommands of foxtailrun, run in this process with their output in memory. */
+/* The subcommands of foxtailrun, run in this process. */
 #include "command.h"
 #include <glib.h>
 #include <glib/gstdio.h>
@@ -46,7 +46,7 @@
   free (result->err);
 }
 
-/* Lines of two requests whose ids have a common prefix, and of a call that one of them made. */
+/* Two requests whose ids have a common prefix, and a call by one of them. */
 #define NODE_LOG                                                                               \
   "service=request msg=answered id=a12 status=200 reason=\"\" version=7 instance=i-2\n"        \
   "service=served msg=not-run id=a1.b2 reason=queue-full\n"                                    \
@@ -190,8 +190,7 @@
     "" },
 };
 
-/* Guards against a wrong exit status, output on the wrong stream, and a command without help.
- */
+/* Guards against wrong exit statuses or streams, and commands without help. */
 static void
 test_output (void)
 {
@@ -299,8 +298,7 @@
     "objective shop/fast: added, target_ms 9, ratio 0.5\n" },
 };
 
-/* Guards against a change that is omitted, a change reported between equal documents, and a
- * missing risk. */
+/* Guards against omitted changes, changes between equal documents, and missing risks. */
 static void
 test_diff (void)
 {
@@ -337,8 +335,8 @@
   leave_folder ();
 }
 
-/* Guards against a missing risk for a lower version, which nodes do not apply, and against JSON
- * that differs from the text. */
+/* Guards against a missing risk for a lower version, which nodes do not apply, and JSON that
+ * differs from the text. */
 static void
 test_diff_json (void)
 {
@@ -361,8 +359,8 @@
   leave_folder ();
 }
 
-/* Guards against invalid examples, and against a documentation page whose tables or sample
- * output differ from the output of the program. */
+/* Guards against invalid examples, and documentation that differs from the program's
+ * output. */
 static void
 test_pages (void)
 {
--- a/packages/foxtailrun/tests/test-load.c
+++ b/packages/foxtailrun/tests/test-load.c
@@ -1,9 +1,9 @@
-/* Parsing, random choice, classification and percentiles of foxtailrun load. The process tests
- * of foxtailrund test the run itself. */
+/* Parsing, choice, classification and percentiles of foxtailrun load; foxtailrund tests the
+ * run. */
 #include "load.h"
 #include <string.h>
 
-/* Guards against an invalid kind of call that is accepted, and a valid one that is misread. */
+/* Guards against invalid kinds accepted and valid ones misread. */
 static void
 test_kinds (void)
 {
@@ -53,7 +53,8 @@
     }
 }
 
-/* Guards against a choice that ignores the weights or that the same seed does not reproduce. */
+/* Guards against a choice that ignores the weights or that the same seed does not
+ * reproduce. */
 static void
 test_draw (void)
 {
@@ -79,8 +80,8 @@
     }
 }
 
-/* Guards against counting a call that may have run as not run, and an error of the backend
- * server as goodput. */
+/* Guards against counting calls that may have run as not run, and backend errors as
+ * goodput. */
 static void
 test_classify (void)
 {
@@ -119,7 +120,7 @@
     }
 }
 
-/* Guards against a percentile that omits the slowest calls. */
+/* Guards against percentiles without the slowest calls. */
 static void
 test_percentile (void)
 {
--- a/packages/foxtailrun/tests/test-report.c
+++ b/packages/foxtailrun/tests/test-report.c
@@ -1,4 +1,4 @@
-/* The report on service-level burn from responses of nodes. */
+/* The burn report from responses of nodes. */
 #include "report-burn.h"
 #include <string.h>
 
@@ -33,7 +33,7 @@
   return status;
 }
 
-/* Guards against a malformed response that is accepted or partly merged. */
+/* Guards against malformed responses accepted or partly merged. */
 static void
 test_answers (void)
 {
@@ -94,8 +94,8 @@
   return report;
 }
 
-/* Guards against a table that omits nodes without a response, a short reach, alerts or the
- * zones and nodes with the most bad calls, or that merges objectives of different documents. */
+/* Guards against a table that omits nodes without a response, short reach, alerts or the worst
+ * zones and nodes, or that merges objectives of different documents. */
 static void
 test_table (void)
 {
@@ -124,7 +124,7 @@
   burn_destroy_report (report);
 }
 
-/* Guards against names that are interpreted as markup, and a page that loads resources. */
+/* Guards against names taken as markup, and a page that loads resources. */
 static void
 test_page (void)
 {
@@ -137,7 +137,7 @@
     { "a&b", "a&amp;b" },
     { "\\\"quoted'", "&quot;quoted&apos;" },
     { "\\u0001", "&#x1;" },
-    /* 46 bytes and a character of two bytes, of which the limit of names removes the second. */
+    /* 46 bytes and a two-byte character, whose second byte the limit of names removes. */
     { "0123456789012345678901234567890123456789012345\\u00e9",
       "0123456789012345678901234567890123456789012345\xef\xbf\xbd" },
   };
--- a/packages/foxtailrund/source/main.c
+++ b/packages/foxtailrund/source/main.c
@@ -21,8 +21,8 @@
     }
 }
 
-/* Reads and checks the settings in PATH, which with FROM_PLATFORM are in the format of the
- * platform; prints the problems. Returns whether they are valid. */
+/* Reads the settings in PATH, with FROM_PLATFORM in the platform's format; prints problems.
+ * Returns whether they are valid. */
 static bool
 load_settings (const char *path, bool from_platform, fc_settings_t *settings)
 {
@@ -40,7 +40,7 @@
   return is_valid;
 }
 
-/* State of the process and input of a reload. */
+/* State of the process, input of a reload. */
 typedef struct
 {
   const char *path;
@@ -64,8 +64,8 @@
          && is_same_socket_address (&a->platform, &b->platform);
 }
 
-/* Reads the settings again and logs whether they are valid and need a restart: addresses, ports
- * and the backend server cannot change while the process runs. */
+/* Reads the settings again and logs whether they are valid and need a restart: addresses,
+ * ports and the backend server cannot change at run time. */
 static void
 reload_settings (void *user)
 {
--- a/packages/foxtailrund/tests/fixture-fleet.c
+++ b/packages/foxtailrund/tests/fixture-fleet.c
@@ -21,7 +21,7 @@
   fk_kernel_t *kernel;
   char *folder;
   char *publish_folder;
-  unsigned subnet[2]; /* second and third byte of the IP addresses */
+  unsigned subnet[2]; /* second and third byte of IP addresses */
   size_t count;
   GPid platform;
   GPid nodes[FLEET_NODES_MAX + 1];
@@ -57,8 +57,7 @@
   return fb_make_name (text);
 }
 
-/* Has the kernel kill the child when the test process exits, so that a failed test leaves no
- * processes behind. */
+/* The kernel kills the child when the test exits, so a failed test leaves no processes. */
 static void
 kill_with_parent (gpointer user)
 {
@@ -181,7 +180,7 @@
   fleet->folder = g_dir_make_tmp ("foxtailrun-XXXXXX", NULL);
   fleet->publish_folder = g_build_filename (fleet->folder, "published", NULL);
   g_mkdir (fleet->publish_folder, 0700);
-  /* The process id selects the subnet, so that parallel tests use different addresses. */
+  /* Subnet by process id, so parallel tests use different addresses. */
   fleet->subnet[0] = 100 + (unsigned)getpid () / 250 % 150;
   fleet->subnet[1] = 1 + (unsigned)getpid () % 250;
   fleet->count = nodes;
@@ -233,8 +232,8 @@
   g_free (fleet);
 }
 
-/* Writes the base document with VERSION and EXTRA text appended to PATH. Returns PATH, which
- * the caller continues to own. */
+/* Writes the base document with VERSION and EXTRA to PATH. Returns PATH, still the
+ * caller's. */
 static char *
 write_document (char *path, uint64_t version, const char *extra)
 {
@@ -409,7 +408,7 @@
   g_free (response->body);
 }
 
-/* Returns the JSON of a response of the administration port as a new object, or NULL. */
+/* Returns the JSON of an administration response as a new object, or NULL. */
 static json_t *
 get_admin_json (fleet_t *fleet, size_t number, const char *path)
 {
@@ -541,7 +540,6 @@
   return (size_t)g_ascii_strtoull (ticket + strlen ("ftr1-node-"), NULL, 10);
 }
 
-/* Number of nodes in the fleet of each case. */
 static size_t case_node_count;
 
 static void
--- a/packages/foxtailrund/tests/fixture-fleet.h
+++ b/packages/foxtailrund/tests/fixture-fleet.h
@@ -1,6 +1,5 @@
-/* A fleet of real processes on loopback addresses: the platform stand-in, and nodes with their
- * backend server stand-ins. Waits poll a condition; their timeout is long enough that only a
- * fault reaches it. */
+/* A fleet of real processes on loopback: platform stand-in, nodes and backend stand-ins. Waits
+ * poll; only a fault reaches their timeout. */
 #ifndef FOXTAILRUND_FIXTURE_FLEET_H
 #define FOXTAILRUND_FIXTURE_FLEET_H
 
@@ -34,14 +33,13 @@
   void (*check) (fleet_t *fleet);
 } fleet_case_t;
 
-/* Runs COUNT CASES as tests, each on its own fleet of NODES nodes; returns the exit status of
- * the program. */
+/* Runs COUNT CASES, each on its own fleet of NODES nodes; returns the exit status. */
 int fleet_run_cases (int argc, char **argv, const fleet_case_t *cases, size_t count,
                      size_t nodes);
 
-/* Starts the platform and NODES nodes in two zones, the first half with service storefront, the
- * rest with inventory. Publishes version 1 and waits until it is in force and all nodes see
- * each other as alive. */
+/* Starts the platform and NODES nodes in two zones, the first half with service storefront,
+ * the rest with inventory. Publishes version 1; waits until it is in force and all nodes see
+ * each other alive. */
 fleet_t *fleet_start (size_t nodes);
 
 /* Kills all processes, removes the folder and frees FLEET. */
@@ -50,10 +48,10 @@
 /* Publishes the base document with VERSION and EXTRA text appended. */
 void fleet_publish (fleet_t *fleet, uint64_t version, const char *extra);
 
-/* Publishes a host list in which the host of node LEAVING is marked as leaving; 0 for none. */
+/* Publishes a host list with node LEAVING's host marked as leaving; 0 for none. */
 void fleet_publish_hosts (fleet_t *fleet, size_t leaving);
 
-/* Makes the platform fail all calls while DOWN is set. */
+/* The platform fails all calls while DOWN is set. */
 void fleet_set_platform_outage (fleet_t *fleet, bool down);
 
 /* Sends SIGNAL to node NUMBER, from 1. */
@@ -62,8 +60,7 @@
 /* Sends SIGNAL to the backend server of node NUMBER. */
 void fleet_signal_backend (fleet_t *fleet, size_t number, int signal);
 
-/* Waits until the process of node NUMBER exits; returns its exit status, or 128 plus the
- * signal. */
+/* Waits until node NUMBER exits; returns its exit status, or 128 plus the signal. */
 int fleet_wait_exit (fleet_t *fleet, size_t number);
 
 /* Starts node NUMBER again after fleet_wait_exit. */
@@ -78,13 +75,11 @@
 /* Waits until node NUMBER sees member OTHER in STATE. */
 void fleet_wait_state (fleet_t *fleet, size_t number, size_t other, const char *state);
 
-/* Sends a request to the caller port of node NUMBER and waits for the response. TICKET may be
- * NULL. */
+/* Sends a request to the caller port of node NUMBER and waits. TICKET may be NULL. */
 fleet_response_t fleet_call (fleet_t *fleet, size_t number, const char *method,
                              const char *path, const char *ticket);
 
-/* Like fleet_call, without waiting; fleet_finish_call waits for the response and frees the
- * call. */
+/* Like fleet_call, without waiting; fleet_finish_call waits and frees the call. */
 typedef struct fleet_pending_call fleet_pending_call_t;
 fleet_pending_call_t *fleet_begin_call (fleet_t *fleet, size_t number, const char *method,
                                         const char *path, const char *ticket);
@@ -97,29 +92,29 @@
 /* Frees the strings of RESPONSE. */
 void fleet_clear_response (fleet_response_t *response);
 
-/* Returns how many times PATH ran on the backend servers of all nodes. */
+/* Returns how often PATH ran on all backend servers. */
 uint64_t fleet_count_runs (fleet_t *fleet, const char *path);
 
-/* Waits until PATH ran at least once on any backend server. */
+/* Waits until PATH ran on any backend server. */
 void fleet_wait_run (fleet_t *fleet, const char *path);
 
-/* Runs the event loop of the test for MS milliseconds. */
+/* Runs the event loop for MS milliseconds. */
 void fleet_run_loop (fleet_t *fleet, uint64_t ms);
 
-/* Returns "IP:PORT" of the administration port or the caller port of node NUMBER, which need
- * not exist; free with g_free. */
+/* Returns "IP:PORT" of the administration or caller port of node NUMBER, which need not exist;
+ * free with g_free. */
 char *fleet_format_admin_address (const fleet_t *fleet, size_t number);
 char *fleet_format_caller_address (const fleet_t *fleet, size_t number);
 
-/* Returns the folder that the platform publishes from; owned by FLEET. */
+/* Returns the platform's folder, owned by FLEET. */
 const char *fleet_get_publish_folder (const fleet_t *fleet);
 
-/* Writes the base document with VERSION and EXTRA text appended to file NAME, which is not
- * published. Returns its path; free with g_free. */
+/* Writes the base document with VERSION and EXTRA to unpublished file NAME. Returns its path;
+ * free with g_free. */
 char *fleet_write_document (fleet_t *fleet, const char *name, uint64_t version,
                             const char *extra);
 
-/* Returns the number of the node that TICKET names. */
+/* Returns the number of the node named by TICKET. */
 size_t fleet_parse_ticket_node (const char *ticket);
 
 #endif
--- a/packages/foxtailrund/tests/test-process-burn.c
+++ b/packages/foxtailrund/tests/test-process-burn.c
@@ -1,19 +1,18 @@
-/* Service-level burn counted by a real process and reported by its administration port. */
+/* Service-level burn counted and reported by a real process. */
 #include "fixture-fleet.h"
 
 #define NODES 4
 #define ENTRY_NODE 1
 
-/* Every response meets the first latency target; a stock check that sleeps always misses its
- * own. */
+/* Every response meets the first target; a sleeping stock check always misses its own. */
 #define STOREFRONT_OBJECTIVE                                                                   \
   "[[objective]]\nservice = \"storefront\"\nrank = \"urgent\"\ntarget_ms = 3600000\n"          \
   "ratio = 0.5\n"
 #define INVENTORY_OBJECTIVE                                                                    \
   "[[objective]]\nservice = \"inventory\"\nrank = \"background\"\ntarget_ms = 1\nratio = 0.5\n"
 
-/* Returns the objectives of the entry node with the counts of the longest window, such as
- * "storefront good 1 refused 0 late 0 failed 0 unknown 0\n"; free with g_free. */
+/* Returns the entry node's objectives with counts of the longest window, such as "storefront
+ * good 1 refused 0 late 0 failed 0 unknown 0\n"; free with g_free. */
 static char *
 format_burn_counts (fleet_t *fleet)
 {
@@ -41,8 +40,8 @@
   return g_string_free (text, FALSE);
 }
 
-/* Guards against calls that the entry node does not count or counts under the wrong cause,
- * ticket requests counted as refusals, and objectives that ignore a new configuration. */
+/* Guards against calls not counted or under the wrong cause, ticket requests counted as
+ * refusals, and objectives that ignore a new configuration. */
 static void
 test_counts (void)
 {
--- a/packages/foxtailrund/tests/test-process-command.c
+++ b/packages/foxtailrund/tests/test-process-command.c
@@ -91,7 +91,7 @@
     }
 }
 
-/* Guards against an apply that reports success before the version is in force, or publishes a
+/* Guards against apply reporting success before the version is in force, or publishing a
  * document that nodes refuse. */
 static void
 test_apply (void)
@@ -158,8 +158,8 @@
   fleet_stop (fleet);
 }
 
-/* Guards against explanations and lists that differ from the state of the nodes, and against
- * success when a node does not answer. */
+/* Guards against explanations and lists that differ from the nodes, and success when a node
+ * does not answer. */
 static void
 test_queries (void)
 {
@@ -217,8 +217,7 @@
   fleet_stop (fleet);
 }
 
-/* Guards against a drain without the key, and an explanation that lists a leaving node as a
- * candidate. */
+/* Guards against a drain without the key, and a leaving node explained as a candidate. */
 static void
 test_drain (void)
 {
@@ -256,8 +255,7 @@
   return json_integer_value (value);
 }
 
-/* Guards against a load that offers a wrong number of calls, reports no outcome for some of
- * them, or exceeds its limit of calls in flight. */
+/* Guards against a wrong number of calls, calls without outcome, and too many in flight. */
 static void
 test_load (void)
 {
--- a/packages/foxtailrund/tests/test-process-config.c
+++ b/packages/foxtailrund/tests/test-process-config.c
@@ -1,16 +1,15 @@
-/* Configuration through real processes: outages, stale and invalid documents, pauses and
- * simultaneous restarts. */
+/* Configuration in real processes: outages, stale and invalid documents, pauses, restarts. */
 #include "fixture-fleet.h"
 #include <signal.h>
 
 #define NODES 6
 
-/* A route to a service that the document does not define. */
+/* A route to an undefined service. */
 #define DANGLING_ROUTE                                                                         \
   "[[route]]\nname = \"lost\"\npath = \"/lost\"\nservice = \"missing\"\nrank = \"urgent\"\n"   \
   "timeout_ms = 1000\n"
 
-/* An additional route that distinguishes two documents with the same version number. */
+/* Distinguishes two documents with the same version number. */
 #define EXTRA_ROUTE                                                                               \
   "[[route]]\nname = \"extra\"\npath = \"/extra\"\nservice = \"storefront\"\nrank = \"urgent\"\n" \
   "timeout_ms = 1000\n"
@@ -37,8 +36,7 @@
   fleet_restart (fleet, number);
 }
 
-/* Guards against a node that cannot start, or starts with an older version, while the source is
- * down. */
+/* Guards against failed starts, and starts with an older version, while the source is down. */
 static void
 check_outage (fleet_t *fleet)
 {
@@ -52,8 +50,7 @@
   wait_version_on_all (fleet, 3);
 }
 
-/* Guards against an older document from the source that comes into force on running or starting
- * nodes. */
+/* Guards against an older document in force on running or starting nodes. */
 static void
 check_stale_source (fleet_t *fleet)
 {
@@ -67,7 +64,7 @@
   wait_version_on_all (fleet, 4);
 }
 
-/* Returns whether any node reports a refused document that names the missing service. */
+/* Whether any node reports a refused document that names the missing service. */
 static bool
 is_refused (fleet_t *fleet)
 {
@@ -82,8 +79,7 @@
   return refused;
 }
 
-/* Guards against an invalid document that is applied, even partly, or that blocks the next one.
- */
+/* Guards against an invalid document applied, even partly, or blocking the next. */
 static void
 check_invalid_document (fleet_t *fleet)
 {
@@ -104,8 +100,7 @@
   wait_version_on_all (fleet, 3);
 }
 
-/* Guards against nodes with different documents in force when two operators publish the same
- * version number. */
+/* Guards against different documents in force when two operators publish the same version. */
 static void
 check_same_version_number (fleet_t *fleet)
 {
@@ -144,7 +139,7 @@
     fleet_wait_state (fleet, number, 4, "alive");
 }
 
-/* Guards against a fleet that does not recover when all nodes restart at once. */
+/* Guards against a failed recovery when all nodes restart at once. */
 static void
 check_restart_of_all_nodes (fleet_t *fleet)
 {
--- a/packages/foxtailrund/tests/test-process-drain.c
+++ b/packages/foxtailrund/tests/test-process-drain.c
@@ -11,7 +11,7 @@
 /* Calls in flight during a drain. */
 #define OPEN_CALLS 24
 
-/* Rounds of the drain under load; the environment variable ROUNDS replaces it. */
+/* Rounds of the drain under load; replaced by the environment variable ROUNDS. */
 #define DEFAULT_ROUNDS 2
 
 typedef struct
@@ -29,9 +29,8 @@
   return text ? (size_t)strtoul (text, NULL, 10) : DEFAULT_ROUNDS;
 }
 
-/* Finishes the call in SLOT, checks that its response is complete and starts a new call. The
- * entry nodes alternate; the drained node is one of them only with USE_DRAINED_NODE, before its
- * drain. */
+/* Finishes the call in SLOT, checks its response and starts a new one. Entry nodes alternate;
+ * the drained node is one only with USE_DRAINED_NODE, before its drain. */
 static void
 replace_call (open_calls_t *calls, size_t slot, bool use_drained_node)
 {
@@ -62,7 +61,7 @@
     }
 }
 
-/* Guards against requests that fail because of a drain, at the drained node as entry node or as
+/* Guards against requests that fail by a drain, at the drained node as entry node or
  * instance. */
 static void
 test_drain_under_load (void)
@@ -88,8 +87,7 @@
   fleet_stop (fleet);
 }
 
-/* Guards against a drain that does not wait: a long call in flight must complete before the
- * exit. */
+/* Guards against a drain that exits before a long call in flight completes. */
 static void
 test_drain_waits (void)
 {
@@ -107,7 +105,7 @@
   fleet_stop (fleet);
 }
 
-/* Guards against a node that does not drain when the host list marks its host as leaving. */
+/* Guards against a missing drain when the host list marks the host as leaving. */
 static void
 test_host_list (void)
 {
@@ -123,8 +121,7 @@
   fleet_stop (fleet);
 }
 
-/* Guards against administration requests that change state without the key, and wrong responses
- * to invalid requests. */
+/* Guards against state changes without the key, and wrong responses to invalid requests. */
 static void
 test_admin (void)
 {
--- a/packages/foxtailrund/tests/test-process-once.c
+++ b/packages/foxtailrund/tests/test-process-once.c
@@ -1,4 +1,4 @@
-/* Payments through real processes: kills, pauses and repeats at each step of an at-most-once
+/* Payments in real processes: kills, pauses and repeats at each step of an at-most-once
  * call. */
 #include "fixture-fleet.h"
 #include <signal.h>
@@ -8,7 +8,7 @@
 #define ENTRY_NODE 7
 #define OTHER_ENTRY_NODE 8
 
-/* Path of a payment that takes 1.5 s at the backend server. */
+/* A payment of 1.5 s at the backend server. */
 #define SLOW_PAYMENT "/pay?sleep=1500&id=%s"
 
 typedef struct
@@ -54,7 +54,7 @@
   g_free (payment->ticket);
 }
 
-/* Guards against a second run when a payment is repeated through another entry node. */
+/* Guards against a second run by a repeat through another entry node. */
 static void
 check_repeats (fleet_t *fleet)
 {
@@ -78,8 +78,7 @@
   clear_payment (&payment);
 }
 
-/* Guards against the outcome "not run", and a second run, when the node that runs a payment is
- * killed. */
+/* Guards against "not run", and a second run, when the node running a payment is killed. */
 static void
 check_kill_while_running (fleet_t *fleet)
 {
@@ -107,8 +106,7 @@
   clear_payment (&payment);
 }
 
-/* Guards against running a ticket of a killed process on the restarted node, and against the
- * outcome "not run" for it. */
+/* Guards against running a killed process's ticket after its restart, and "not run" for it. */
 static void
 check_kill_before_use (fleet_t *fleet)
 {
@@ -127,8 +125,8 @@
   clear_payment (&payment);
 }
 
-/* Guards against a second run, and a lost response, when the node that runs a payment is paused
- * until after the deadline. */
+/* Guards against a second run, and a lost response, when the node running a payment is paused
+ * past the deadline. */
 static void
 check_pause_while_running (fleet_t *fleet)
 {
@@ -152,8 +150,7 @@
   clear_payment (&payment);
 }
 
-/* Guards against the outcome "not run" for a payment whose entry node is killed while it runs.
- */
+/* Guards against "not run" for a payment whose entry node is killed during it. */
 static void
 check_kill_entry (fleet_t *fleet)
 {
@@ -177,8 +174,8 @@
   clear_payment (&payment);
 }
 
-/* Guards against a definite outcome while the backend server is stopped, and a second run after
- * it continues. */
+/* Guards against a definite outcome while the backend is stopped, and a second run after it
+ * continues. */
 static void
 check_backend_down (fleet_t *fleet)
 {
@@ -197,8 +194,8 @@
   clear_payment (&payment);
 }
 
-/* Guards against requests that reach an at-most-once route by an equivalent path, and against
- * the outcome "not run" for a ticket from a node that cannot know it. */
+/* Guards against reaching an at-most-once route by an equivalent path, and "not run" for a
+ * ticket from a node that cannot know. */
 static void
 check_requests (fleet_t *fleet)
 {
--- a/standins/fleet/fleet-host.c
+++ b/standins/fleet/fleet-host.c
@@ -1,4 +1,4 @@
-/* The process of a host: hooks of its node, start, end and pause, and the invariants. */
+/* Process of a host: hooks of its node, start, end, pause and invariants. */
 #include "fleet-state.h"
 #include <foxtailrun/base/invariant.h>
 #include <foxtailrun/config/delta.h>
@@ -62,8 +62,7 @@
   uint8_t *bytes;
   size_t length;
 
-  /* Guards against a node that announces readiness too early: it would get calls with an
-   * outdated configuration. */
+  /* Guards against readiness too early: calls would run with an outdated configuration. */
   if (message->kind == FW_SUMMARY && message->ready)
     FB_INVARIANT (host->ready && fd_is_ready (host->node));
   if (message->kind == FW_DOCUMENT && message->payload.len > 0
--- a/standins/fleet/fleet-network.c
+++ b/standins/fleet/fleet-network.c
@@ -1,4 +1,4 @@
-/* The simulated network: delays, loses and duplicates messages; a queue of events by time. */
+/* Simulated network: delays, loses, duplicates messages; events by time. */
 #include "fleet-state.h"
 
 void
--- a/standins/fleet/fleet-state.h
+++ b/standins/fleet/fleet-state.h
@@ -29,13 +29,12 @@
   uint64_t index;
 } sf_event_t;
 
-/* Frees an event. */
 void sf_free_event (gpointer data);
 
 /* Schedules an event of KIND at HOST after the delay of a link; owned by the fleet. */
 sf_event_t *sf_schedule_event (sf_host_t *host, sf_event_kind_t kind, fb_bytes_t bytes);
 
-/* Sends BYTES from HOST to the host that listens on PORT. */
+/* Sends BYTES from HOST to the host at PORT. */
 void sf_transmit (sf_host_t *host, uint16_t port, sf_event_kind_t kind, fb_bytes_t bytes);
 
 /* Passes EVENT to the process of HOST, or to the source. */
--- a/standins/fleet/fleet.h
+++ b/standins/fleet/fleet.h
@@ -8,8 +8,8 @@
 #define SF_HOSTS_MAX 12
 #define SF_STEP (10 * FB_MILLISECOND)
 
-/* Properties of every link. Delays are uniform between DELAY_MIN and DELAY_MAX; the others are
- * probabilities per message. */
+/* Every link: delays uniform from DELAY_MIN to DELAY_MAX; the others are probabilities per
+ * message. */
 typedef struct
 {
   fb_time_t delay_min;
@@ -38,8 +38,7 @@
   fb_time_t applied_at;
   bool ready;
   fb_time_t started_at;
-  fb_time_t
-      join_started_at; /* start of the process, or end of a pause that lost its readiness */
+  fb_time_t join_started_at;        /* start, or end of a pause that lost readiness */
   uint64_t summaries_received;      /* SUMMARY messages since then */
   uint64_t source_values;           /* responses to source reads started since then */
   uint64_t source_calls;            /* of this process */
@@ -58,8 +57,8 @@
 typedef struct
 {
   bool down;
-  bool frozen;  /* serves the value that it had at the freeze */
-  double stale; /* probability that a read without a wait returns an older value */
+  bool frozen;  /* serves the value of the freeze */
+  double stale; /* probability of an older value for a read without a wait */
   uint64_t index;
   GBytes *document;       /* borrowed from VALUES, as is VISIBLE_DOCUMENT */
   bool valid;             /* of the document */
@@ -83,8 +82,8 @@
   size_t zones;
   sf_source_t source;
   fb_counters_t *totals; /* counters of ended processes */
-  GHashTable *valid;     /* digests in hex of the valid documents published */
-  GHashTable *refused;   /* digests in hex of refused documents */
+  GHashTable *valid;     /* hex digests of valid documents */
+  GHashTable *refused;   /* hex digests of refused documents */
 };
 
 /* Creates and starts a fleet of COUNT nodes in ZONES zones; two zones form a region. Freed by
@@ -92,11 +91,10 @@
 sf_fleet_t *sf_create_fleet (uint32_t seed, size_t count, size_t zones);
 void sf_destroy_fleet (sf_fleet_t *fleet);
 
-/* Advances the clock by DURATION in steps of SF_STEP and checks the invariants in each. */
+/* Advances the clock by DURATION, checking the invariants in each SF_STEP. */
 void sf_run_fleet (sf_fleet_t *fleet, fb_time_t duration);
 
-/* End, start, suspend and resume the process of host INDEX. Messages that arrive during a pause
- * are queued. */
+/* End, start, suspend and resume host INDEX. Messages during a pause are queued. */
 void sf_kill_host (sf_fleet_t *fleet, size_t index);
 void sf_start_host (sf_fleet_t *fleet, size_t index);
 void sf_pause_host (sf_fleet_t *fleet, size_t index);
--- a/standins/standin-backend.c
+++ b/standins/standin-backend.c
@@ -1,5 +1,4 @@
-/* Stand-in for a backend server: answers each request after a service time and counts the
- * requests that it ran.
+/* Stand-in for a backend server: answers after a service time and counts the requests run.
  *
  * Usage: standin-backend ADDRESS PORT NAME SLOTS SERVICE_MS
  * The answer echoes the request: "name=NAME path=PATH body=BODY runs=N", N counting the runs of
@@ -8,7 +7,7 @@
  * returns one line "PATH COUNT" for each path run, GET /standin/overruns the number of
  * overruns.
  *
- * A request with X-Attempt-Id is answered in the manner of the users' instances: the response
+ * A request with X-Attempt-Id is answered like the users' instances do: the response
  * repeats the id, carries a signature and returns the caller's service in X-Seen-Caller. The
  * response to a request that was not run has X-Not-Executed; its status is 421 if the request
  * expected an instance other than NAME. */
@@ -109,7 +108,7 @@
   g_free (job);
 }
 
-/* Detaches a cancelled request from its job; the job still occupies its slot until it ends. */
+/* Detaches a cancelled request from its job, which keeps its slot until it ends. */
 static void
 detach_request (fh_request_t *request, void *user)
 {
--- a/standins/standin-caller.c
+++ b/standins/standin-caller.c
@@ -1,5 +1,5 @@
-/* Stand-in for callers: sends requests to entry nodes and checks that each response is complete
- * and belongs to its request.
+/* Stand-in for callers: sends requests to entry nodes and checks that each response is
+ * complete and belongs to its request.
  *
  * Usage: standin-caller [OPTION=VALUE...] ADDRESS:PORT...
  *
@@ -11,7 +11,7 @@
  *
  * duration=S: sends for S seconds instead of a number of calls.
  *
- * ticket=1: on 428, sends the request again with the ticket of the response.
+ * ticket=1: on 428, repeats the request with the response's ticket.
  *
  * Requests are spread over the addresses in turn. Prints one line: counts by outcome, wrong
  * responses, transport errors (connection refused, or closed without a response) and latencies
@@ -77,7 +77,7 @@
   return caller->started >= caller->count;
 }
 
-/* Returns whether RESPONSE echoes the request of EXCHANGE completely. */
+/* Whether RESPONSE echoes the request of EXCHANGE completely. */
 static bool
 is_matching_response (const exchange_t *exchange, const fh_response_t *response)
 {
--- a/standins/standin-platform.c
+++ b/standins/standin-platform.c
@@ -1,6 +1,5 @@
-/* Stand-in for the platform: a configuration service that can only be read and watched
- * (Consul's KV protocol with blocking queries) and a host list (Consul's health protocol),
- * served from a folder.
+/* Stand-in for the platform: a configuration service, read and watched only (Consul's KV
+ * protocol with blocking queries), and a host list (Consul's health protocol) from a folder.
  *
  * Usage: standin-platform ADDRESS PORT FOLDER
  * FOLDER/config.toml is the published document, FOLDER/hosts.json the host list; both may be
@@ -17,7 +16,7 @@
 /* Longest wait of a watch in s, the same as Consul's. */
 #define WATCH_WAIT_MAX_S 600
 
-/* A value that is read from a file and can be watched. */
+/* A value read from a file; can be watched. */
 typedef struct
 {
   const char *file;
@@ -165,7 +164,7 @@
     }
 }
 
-/* Reloads the file of VALUE if it has changed, and increments the revision. */
+/* Reloads VALUE's file if changed, and increments the revision. */
 static void
 poll_value (platform_t *platform, value_t *value)
 {
--- a/standins/standin-store.c
+++ b/standins/standin-store.c
@@ -165,7 +165,7 @@
   g_free (after);
 }
 
-/* Answers WATCH if an item has changed or the wait has expired; returns whether it did. */
+/* Answers WATCH on a change or expiry; returns whether it did. */
 static bool
 complete_watch (store_t *store, watch_t *watch)
 {
@@ -199,7 +199,7 @@
 {
   store_t *store = user;
 
-  /* During an outage open watches get no response either. */
+  /* In an outage open watches get no response either. */
   if (strcmp (store->mode, "busy") == 0 || strcmp (store->mode, "many") == 0
       || strcmp (store->mode, "silent") == 0)
     return;
